--- a/packages/coordination/src/handoff/offers.ts
+++ b/packages/coordination/src/handoff/offers.ts
@@ -52,5 +52,5 @@
   attempts: offer.attempts,
   objective: { stretch: offer.stretch, slackMs: offer.slackMs, lateFactor: offer.lateFactor },
   deadlineMs: offer.deadlineMs,
-  originEntry: originEntry
+  originEntry
 })
--- a/packages/coordination/src/leased/configExchange.test.ts
+++ b/packages/coordination/src/leased/configExchange.test.ts
@@ -11,11 +11,11 @@
 
 const TIMES = { entryLeaseMs: 600, runLeaseMs: 500, stopMs: 50, clockFactor: 1.02 }
 const SWEEP_MS = 25
-/** An agent with nothing to do is heard of this often. */
+/** Interval of frames from an idle agent. */
 const KEEP_ALIVE_MS = 150
-/** A document as packed for a fleet of hundreds of endpoints, of about 10 KB as written. */
+/** Packed size of a document for a fleet of hundreds of endpoints, about 10 KB unpacked. */
 const DOCUMENT_BYTES = 2500
-/** Of a link of 2 Mbit/s, in a tenth of a second. */
+/** Capacity of a 2 Mbit/s link in 100 ms. */
 const LINK_BYTES = 25_000
 
 interface Sent {
@@ -24,15 +24,16 @@
   frame: EntryFrame
 }
 
-/** An entry with sessions to agents that say what they hold; frames leave a turn after they were asked for. */
-class OneEntry {
+/** An entry with sessions to agents that report their document version; frames are sent at the next flush after they were requested. */
+class EntryFixture {
   readonly clock = createFakeClock()
   readonly sent: Sent[] = []
   readonly newer: bigint[] = []
   readonly sessions: LeasedSessions
   readonly agents: LeasedAgent[] = []
-  readonly held: bigint[] = []
-  /** Frames that were asked for and have not left. */
+  /** Version of the document that each agent has. */
+  readonly replicaVersions: bigint[] = []
+  /** Frames that were requested and not sent yet, by agent. */
   private readonly pending = new Map<number, EntryFrame>()
 
   constructor (agents: number) {
@@ -51,32 +52,34 @@
     for (let index = 0; index < agents; index++) this.connect(index)
   }
 
-  /** Moves time on; agents that were sent a document hold it a moment later, or never if the link stands still. */
-  run (ms: number, isLinkStill = false): void {
+  /** Advances time. Agents store a document at once when it is sent, or never if the link is stalled. */
+  run (ms: number, isLinkStalled = false): void {
     for (let passed = 0; passed < ms; passed += SWEEP_MS) {
       this.sessions.sweep(this.clock.now())
-      this.flush(isLinkStill)
-      if (passed % KEEP_ALIVE_MS === 0) for (const [index, { link }] of this.agents.entries()) if (link !== undefined) this.hear(index, { configVersion: this.held[index]! })
-      this.flush(isLinkStill)
+      this.flush(isLinkStalled)
+      if (passed % KEEP_ALIVE_MS === 0) for (const [index, { link }] of this.agents.entries()) if (link !== undefined) this.receive(index, { configVersion: this.replicaVersions[index]! })
+      this.flush(isLinkStalled)
       this.clock.advance(SWEEP_MS)
     }
   }
 
-  hear (index: number, frame: Partial<AgentFrame>): void {
+  /** Delivers a frame from an agent. */
+  receive (index: number, frame: Partial<AgentFrame>): void {
     const agent = this.agents[index]!
     this.sessions.onFrame(agent, agent.link!, create(AgentFrameSchema, { stampMs: this.clock.now(), ...frame } as AgentFrame))
   }
 
-  /** What is asked for leaves. */
-  flush (isLinkStill = false): void {
+  /** Sends the requested frames. */
+  flush (isLinkStalled = false): void {
     for (const [index, frame] of this.pending) {
       this.sessions.stamp(this.agents[index]!, frame)
       this.sent.push({ at: this.clock.now(), bytes: toBinary(EntryFrameSchema, frame).length, frame })
-      if (frame.config.length > 0 && !isLinkStill) this.held[index] = frame.configVersion
+      if (frame.config.length > 0 && !isLinkStalled) this.replicaVersions[index] = frame.configVersion
     }
     this.pending.clear()
   }
 
+  /** Frames that carried a document. */
   get documents (): Sent[] {
     return this.sent.filter(({ frame }) => frame.config.length > 0)
   }
@@ -89,49 +92,49 @@
     }
     const link = { add, acknowledge: () => {}, close: () => {} }
     this.agents.push(this.sessions.open(create(HelloSchema, { agentId: `a${index}`, incarnation: `i${index}`, zone: 'z' }), link))
-    this.held.push(0n)
+    this.replicaVersions.push(0n)
   }
 }
 
 const documentOf = (version: bigint): Uint8Array => new Uint8Array(DOCUMENT_BYTES).fill(Number(version))
 
-describe('what a change of the configuration costs an entry', () => {
-  const changes: Array<{ name: string, agents: number, versions: bigint[], gapMs: number, isLinkStill: boolean, mostBytes: number }> = [
-    { name: 'one change at 160 agents', agents: 160, versions: [1n], gapMs: 2000, isLinkStill: false, mostBytes: 20_000 },
-    { name: 'one at 160 agents over a link on which nothing arrives', agents: 160, versions: [1n], gapMs: 2000, isLinkStill: true, mostBytes: 20_000 },
-    { name: 'three a second for four seconds', agents: 160, versions: [1n, 2n, 3n, 4n, 5n, 6n, 7n, 8n, 9n, 10n, 11n, 12n], gapMs: 325, isLinkStill: false, mostBytes: 120_000 }
+describe('bytes sent by an entry for changes of the configuration', () => {
+  const changes: Array<{ name: string, agents: number, versions: bigint[], gapMs: number, isLinkStalled: boolean, maxBytes: number }> = [
+    { name: 'stay below 20 KB for one change with 160 agents', agents: 160, versions: [1n], gapMs: 2000, isLinkStalled: false, maxBytes: 20_000 },
+    { name: 'stay below 20 KB for one change with 160 agents over a stalled link', agents: 160, versions: [1n], gapMs: 2000, isLinkStalled: true, maxBytes: 20_000 },
+    { name: 'stay below 120 KB for three changes a second over four seconds', agents: 160, versions: [1n, 2n, 3n, 4n, 5n, 6n, 7n, 8n, 9n, 10n, 11n, 12n], gapMs: 325, isLinkStalled: false, maxBytes: 120_000 }
   ]
-  it.each(changes)('$name', ({ agents, versions, gapMs, isLinkStill, mostBytes }) => {
-    const entry = new OneEntry(agents)
+  it.each(changes)('$name', ({ agents, versions, gapMs, isLinkStalled, maxBytes }) => {
+    const entry = new EntryFixture(agents)
     for (const version of versions) {
       entry.sessions.setConfig(version, documentOf(version))
-      entry.run(gapMs, isLinkStill)
+      entry.run(gapMs, isLinkStalled)
     }
     const { documents } = entry
     expect(documents.length).toBeGreaterThan(0)
-    expect(documents.reduce((sum, { bytes }) => sum + bytes, 0)).toBeLessThan(mostBytes)
+    expect(documents.reduce((sum, { bytes }) => sum + bytes, 0)).toBeLessThan(maxBytes)
     for (const { at } of documents) {
-      const near = documents.filter((other) => other.at >= at && other.at < at + 100)
-      expect(near.reduce((sum, { bytes }) => sum + bytes, 0)).toBeLessThanOrEqual(LINK_BYTES / 5)
+      const recent = documents.filter((other) => other.at >= at && other.at < at + 100)
+      expect(recent.reduce((sum, { bytes }) => sum + bytes, 0)).toBeLessThanOrEqual(LINK_BYTES / 5)
     }
   })
 
-  it('the agents that keep it are replaced when they go', () => {
-    const entry = new OneEntry(6)
+  it('replicas of the document are replaced when they disconnect', () => {
+    const entry = new EntryFixture(6)
     entry.sessions.setConfig(1n, documentOf(1n))
     entry.run(600)
-    const keepers = entry.held.flatMap((version, index) => version === 1n ? [index] : [])
-    expect(keepers).toHaveLength(3)
-    const gone = entry.agents[keepers[0]!]!
-    entry.sessions.closed(gone, gone.link!)
+    const replicas = entry.replicaVersions.flatMap((version, index) => version === 1n ? [index] : [])
+    expect(replicas).toHaveLength(3)
+    const departed = entry.agents[replicas[0]!]!
+    entry.sessions.closed(departed, departed.link!)
     entry.run(300)
-    expect(entry.held.filter((version) => version === 1n)).toHaveLength(4)
+    expect(entry.replicaVersions.filter((version) => version === 1n)).toHaveLength(4)
   })
 })
 
-describe('a document and its version', () => {
-  it('go together, whatever came into force since the frame was asked for', () => {
-    const entry = new OneEntry(1)
+describe('a configuration document', () => {
+  it('is sent with its own version if a newer one came into force after the frame was requested', () => {
+    const entry = new EntryFixture(1)
     entry.sessions.setConfig(1n, documentOf(1n))
     entry.sessions.sweep(entry.clock.now())
     entry.sessions.setConfig(2n, documentOf(2n))
@@ -140,7 +143,7 @@
     expect(entry.documents.length).toBeGreaterThan(0)
   })
 
-  it('go together in an agent\'s frame, too', () => {
+  it('is sent by an agent with its own version if a newer one arrived after the frame was requested', () => {
     const sessions = new HostSessions(createFakeClock())
     const changes: Array<(frame: AgentFrame) => void> = []
     const add = (change: (frame: AgentFrame) => void): void => { changes.push(change) }
@@ -156,29 +159,29 @@
   })
 })
 
-describe('an entry that hears of a newer document', () => {
-  const waits: Array<{ name: string, own: bigint, isDoubted?: boolean, beforeMs: number, asks: number }> = [
-    { name: 'leaves the store some time', own: 1n, beforeMs: 200, asks: 0 },
-    { name: 'asks one agent if the store does not bring it', own: 1n, beforeMs: 400, asks: 1 },
-    { name: 'asks at once if it has none', own: 0n, beforeMs: 50, asks: 1 },
-    { name: 'asks at once while the store is in doubt', own: 1n, isDoubted: true, beforeMs: 50, asks: 1 },
-    { name: 'is not asked for more often by a store in doubt', own: 1n, isDoubted: true, beforeMs: 200, asks: 1 }
+describe('an entry that learns of a newer document', () => {
+  const requestCases: Array<{ name: string, ownVersion: bigint, isUnconfirmed?: boolean, waitMs: number, requests: number }> = [
+    { name: 'requests nothing within 200 ms, so that the store can deliver it', ownVersion: 1n, waitMs: 200, requests: 0 },
+    { name: 'requests it from one agent if the store has not delivered it after 400 ms', ownVersion: 1n, waitMs: 400, requests: 1 },
+    { name: 'requests it at once if it has no document', ownVersion: 0n, waitMs: 50, requests: 1 },
+    { name: 'requests it at once while its own document is unconfirmed', ownVersion: 1n, isUnconfirmed: true, waitMs: 50, requests: 1 },
+    { name: 'requests it only once in 200 ms while its own document is unconfirmed', ownVersion: 1n, isUnconfirmed: true, waitMs: 200, requests: 1 }
   ]
-  it.each(waits)('$name', ({ own, isDoubted = false, beforeMs, asks }) => {
-    const entry = new OneEntry(4)
-    entry.sessions.setConfigUnconfirmed(isDoubted)
-    if (own > 0n) entry.sessions.setConfig(own, documentOf(own))
-    entry.held.fill(2n)
-    entry.run(beforeMs)
-    expect(entry.sent.filter(({ frame }) => frame.wantsConfig)).toHaveLength(asks)
+  it.each(requestCases)('$name', ({ ownVersion, isUnconfirmed = false, waitMs, requests }) => {
+    const entry = new EntryFixture(4)
+    entry.sessions.setConfigUnconfirmed(isUnconfirmed)
+    if (ownVersion > 0n) entry.sessions.setConfig(ownVersion, documentOf(ownVersion))
+    entry.replicaVersions.fill(2n)
+    entry.run(waitMs)
+    expect(entry.sent.filter(({ frame }) => frame.wantsConfig)).toHaveLength(requests)
   })
 
-  it('asks the next agent when one does not answer, and tells of what it was given', () => {
-    const entry = new OneEntry(4)
-    entry.held.fill(2n)
+  it('requests it from another agent when one does not answer, and reports the document received', () => {
+    const entry = new EntryFixture(4)
+    entry.replicaVersions.fill(2n)
     entry.run(700)
     expect(entry.sent.filter(({ frame }) => frame.wantsConfig).length).toBeGreaterThan(1)
-    entry.hear(0, { configVersion: 2n, config: documentOf(2n) })
+    entry.receive(0, { configVersion: 2n, config: documentOf(2n) })
     expect(entry.newer).toEqual([2n])
   })
 })
--- a/packages/coordination/src/leased/configExchange.ts
+++ b/packages/coordination/src/leased/configExchange.ts
@@ -3,67 +3,69 @@
 import { ConfigCopy } from './configCopy.js'
 import type { LeasedAgent } from './leasedAgent.js'
 
-/** What the exchange needs. */
+/** Dependencies of a ConfigExchange. */
 export interface ConfigExchangeOptions {
   clock: Pick<Clock, 'now'>
   /** Agents that this entry knows, with or without a session. */
   agents: () => Iterable<LeasedAgent>
-  /** An agent's document is newer than the one in force here. */
+  /** Called when an agent sent a newer document than the one in force here. */
   onNewer: (version: bigint, document: Uint8Array) => void
 }
 
 /**
- * Agents that keep this entry's document. With a copy to every agent, a change
- * takes 400 KB of an entry with 160 of them (counted, 2.5 KB packed); with three,
- * under 20 KB.
+ * Number of agents that store this entry's document. With 2.5 KB a packed document,
+ * sending a change to each of 160 agents takes an entry 400 KB; to three, under 20 KB.
  */
-const KEEPERS = 3
-/** One copy at a time: with some 2 KB each, a change takes less than a tenth of a link of 2 Mbit/s. */
-const SEND_PACE_MS = 100
-/** The store's own watch is usually quicker than a peer; a document is asked for only where it is not, or is in doubt. */
-const ASK_AFTER_MS = 300
-/** Time for the answer, before another agent is asked. */
-const ASK_PACE_MS = 250
+const REPLICA_COUNT = 3
+/** Pause between documents to replicas: at about 2 KB each, a change takes less than a tenth of a 2 Mbit/s link. */
+const SEND_INTERVAL_MS = 100
+/**
+ * Time for the store's watch to deliver a newer document, as it is usually faster than
+ * an agent. An entry without a document, or with an unconfirmed one, does not wait.
+ */
+const REQUEST_DELAY_MS = 300
+/** Time for an agent to answer a request, before the document is requested from another one. */
+const REQUEST_INTERVAL_MS = 250
 
 /**
- * An entry's exchange of configuration documents with its agents: a few of them
- * keep the newest one for entries that cannot read the store, and an entry that
- * hears of a newer one than its own asks for it.
+ * An entry's exchange of configuration documents with its agents. A few agents, the
+ * replicas, store the newest document for entries that cannot read the store, and an
+ * entry that learns of a newer document than its own requests it from an agent.
  *
- * Invariant: a document always leaves together with its own version, and at most
- * once to a session.
+ * Invariant: a document is always sent with its own version, and at most once on a
+ * session.
  */
 export class ConfigExchange {
   private readonly copy = new ConfigCopy()
-  private newest = 0n
-  private newerSince = -Infinity
+  private newestVersion = 0n
+  private newestSince = -Infinity
   private sentAt = -Infinity
-  private lookedAt = -Infinity
-  private askedAt = -Infinity
-  private isOwnDoubted = false
+  private checkedAt = -Infinity
+  private requestedAt = -Infinity
+  private isOwnUnconfirmed = false
 
   constructor (private readonly options: ConfigExchangeOptions) {}
 
-  /** A document came into force here. */
+  /** Handles a document that came into force here. */
   setConfig (version: bigint, document: Uint8Array): void {
     this.copy.update(version, document)
   }
 
-  /** The store may hold a newer document than it showed this entry: agents that tell of one are asked at once. */
-  setUnconfirmed (isDoubted: boolean): void {
-    this.isOwnDoubted = isDoubted
+  /** Sets whether the store may hold a newer document than it returned: then one that agents report is requested at once. */
+  setUnconfirmed (isUnconfirmed: boolean): void {
+    this.isOwnUnconfirmed = isUnconfirmed
   }
 
-  /** An agent told what it holds, or gave its document. */
+  /** Handles the document version, and the document if there is one, in a frame from an agent. */
   onFrame (agent: LeasedAgent, { configVersion, config }: AgentFrame): void {
     agent.config.replicaVersion = configVersion
     if (config.length > 0 && this.copy.update(configVersion, config)) this.options.onNewer(configVersion, config)
-    if (configVersion <= this.newest) return
-    this.newest = configVersion
-    this.newerSince = this.options.clock.now()
+    if (configVersion <= this.newestVersion) return
+    this.newestVersion = configVersion
+    this.newestSince = this.options.clock.now()
   }
 
-  /** Fills in a frame as it leaves. */
+  /** Adds the version, and a document or a request that is due, to a frame that is about to be sent. */
   fillFrame ({ config }: LeasedAgent, frame: EntryFrame): void {
     frame.configVersion = this.copy.version
     frame.wantsConfig = config.isRequestDue
@@ -74,41 +76,41 @@
     frame.config = this.copy.document
   }
 
-  /** To be called a few tens of times a second. */
+  /** Sends and requests documents that are due. To be called a few tens of times a second. */
   sweep (now: number): void {
-    if (this.copy.version > 0n && now - Math.max(this.sentAt, this.lookedAt) >= SEND_PACE_MS) this.sendToNext(now)
-    const isWaited = this.copy.version === 0n || this.isOwnDoubted || now - this.newerSince >= ASK_AFTER_MS
-    if (this.newest > this.copy.version && isWaited && now - this.askedAt >= ASK_PACE_MS) this.askNext(now)
+    if (this.copy.version > 0n && now - Math.max(this.sentAt, this.checkedAt) >= SEND_INTERVAL_MS) this.sendToNextReplica(now)
+    const isRequestAllowed = this.copy.version === 0n || this.isOwnUnconfirmed || now - this.newestSince >= REQUEST_DELAY_MS
+    if (this.newestVersion > this.copy.version && isRequestAllowed && now - this.requestedAt >= REQUEST_INTERVAL_MS) this.requestFromNext(now)
   }
 
-  private sendToNext (now: number): void {
-    this.lookedAt = now
+  private sendToNextReplica (now: number): void {
+    this.checkedAt = now
     const { version } = this.copy
-    const keeper = this.keepers.find(({ config }) => config.replicaVersion < version && config.sentVersion < version)
-    if (keeper === undefined) return
+    const replica = this.replicas.find(({ config }) => config.replicaVersion < version && config.sentVersion < version)
+    if (replica === undefined) return
     this.sentAt = now
-    keeper.config.isDocumentDue = true
-    keeper.link!.add(() => {})
+    replica.config.isDocumentDue = true
+    replica.link!.add(() => {})
   }
 
-  /** Asks the agent that was asked longest ago. */
-  private askNext (now: number): void {
-    const [holder] = this.connected
+  /** Requests the document from the agent that was sent a request longest ago. */
+  private requestFromNext (now: number): void {
+    const [source] = this.connectedAgents
       .filter(({ config }) => config.replicaVersion > this.copy.version)
       .sort((a, b) => a.config.requestedAt - b.config.requestedAt)
-    if (holder === undefined) return
-    this.askedAt = now
-    holder.config.requestedAt = now
-    holder.config.isRequestDue = true
-    holder.link!.add(() => {})
+    if (source === undefined) return
+    this.requestedAt = now
+    source.config.requestedAt = now
+    source.config.isRequestDue = true
+    source.link!.add(() => {})
   }
 
-  private get connected (): LeasedAgent[] {
+  private get connectedAgents (): LeasedAgent[] {
     return [...this.options.agents()].filter(({ link, isLeaving }) => link !== undefined && !isLeaving)
   }
 
-  /** The same agents for all entries that know them, so that few hold a copy. */
-  private get keepers (): LeasedAgent[] {
-    return this.connected.sort((a, b) => b.config.replicaScore - a.config.replicaScore).slice(0, KEEPERS)
+  /** Agents that store this entry's document; the same for all entries that know the same agents, so that few hold a copy. */
+  private get replicas (): LeasedAgent[] {
+    return this.connectedAgents.sort((a, b) => b.config.replicaScore - a.config.replicaScore).slice(0, REPLICA_COUNT)
   }
 }
--- a/packages/coordination/src/leased/echoLimits.ts
+++ b/packages/coordination/src/leased/echoLimits.ts
@@ -1,67 +1,77 @@
 import type { LeasedAgent } from './leasedAgent.js'
 import type { LeasedJob } from './leasedJob.js'
 
-/** Another entry for which this one runs jobs. */
+/** An entry that took jobs from their callers and handed them on (forwarded them) to this one. */
 export interface OriginEntry {
-  /** It was surely alive at this moment of this process's clock. */
+  /** Latest time at which it is known to have been alive, in ms on this process's clock. */
   aliveAt: number
 }
 
-/** An entry that was heard of longer ago gets no start, and other agents' echoes are not held back for it. */
-const FRESH_MS = 150
-/** An echo is not held back further, as long as nothing of another entry is out at the agent. */
-const MAX_HELD_MS = 400
+/**
+ * Jobs of an origin entry that was last known alive more than this long ago are not
+ * started, and it does not limit echoes to agents where it has no run in flight.
+ */
+const MAX_ORIGIN_SILENCE_MS = 150
+/**
+ * While an origin entry has no run in flight at an agent, it does not limit echoes there
+ * to a timestamp received more than this long ago, and none of its jobs is started if
+ * that would need such a limit.
+ */
+const MAX_STAMP_AGE_MS = 400
 
 /**
- * Which stamps an entry echoes to its agents while it runs jobs of other
- * entries. Authority for such a job must end with the life of the entry that
- * keeps its caller as well as with that of this one.
+ * Chooses the timestamps that an entry echoes to its agents while it runs jobs
+ * that other entries handed on. The entry lease of such a job must end with its
+ * origin entry as well as with this one.
  *
- * Invariant: while a job of a sponsor is out at an agent, the highest stamp ever
- * echoed there had been read by `aliveAt`. So the agent stamped it while the
- * sponsor lived, and its authority ends as soon after the sponsor's death as if
- * the sponsor itself had ordered the start.
+ * Invariant: while a run of an origin entry is in flight at an agent, the highest
+ * timestamp ever echoed there was received by `aliveAt`. The agent made it while
+ * the origin entry was alive, so its entry lease ends as soon after the death of
+ * the origin entry as if that entry had ordered the start itself.
  */
 export class EchoLimits {
-  private readonly open = new Set<OriginEntry>()
-  private isUsed = false
+  private readonly openOrigins = new Set<OriginEntry>()
+  private hasSeenOrigin = false
 
-  /** From now on jobs of this entry may come; echoes are held back so that they can be started. */
-  addOrigin (sponsor: OriginEntry): void {
-    this.open.add(sponsor)
-    this.isUsed = true
+  /** Registers an entry that may hand on jobs from now on. It limits echoes at once, so that its jobs can be started. */
+  addOrigin (originEntry: OriginEntry): void {
+    this.openOrigins.add(originEntry)
+    this.hasSeenOrigin = true
   }
 
-  /** None come any more; those that are out still hold echoes back. */
-  removeOrigin (sponsor: OriginEntry): void {
-    this.open.delete(sponsor)
+  /** Removes an entry that hands on no more jobs. Its runs in flight still limit echoes. */
+  removeOrigin (originEntry: OriginEntry): void {
+    this.openOrigins.delete(originEntry)
   }
 
-  /** A frame of the agent was read. */
+  /** Records the timestamp of a frame that was received from the agent. */
   onStamp (agent: LeasedAgent, now: number): void {
-    if (this.isUsed) agent.stamps.add(now, agent.stampMs)
+    if (this.hasSeenOrigin) agent.stamps.add(now, agent.stampMs)
   }
 
-  /** The stamp to echo with a frame that leaves now. */
+  /** Returns the timestamp to echo in a frame that is sent now, and records it as echoed. */
   stampToEcho (agent: LeasedAgent, now: number): number {
-    const stampMs = this.isUsed ? this.limited(agent, now) : agent.stampMs
+    const stampMs = this.hasSeenOrigin ? this.limitedStamp(agent, now) : agent.stampMs
     agent.echoedStampMs = Math.max(agent.echoedStampMs, stampMs)
     return stampMs
   }
 
-  /** True if a start of the job may be sent to the agent. */
-  mayStart ({ originEntry: sponsor }: Pick<LeasedJob, 'sponsor'>, agent: LeasedAgent, now: number): boolean {
-    if (sponsor === undefined) return true
-    if (now - sponsor.aliveAt > FRESH_MS) return false
-    const held = agent.stamps.receivedBy(sponsor.aliveAt)
-    return held !== undefined && now - held.receivedAt <= MAX_HELD_MS && agent.echoedStampMs <= held.stampMs
+  /**
+   * True if a start of the job may be sent to the agent: any start of this entry's own
+   * jobs, and one of an origin entry while the invariant holds with it.
+   */
+  mayStart ({ originEntry }: Pick<LeasedJob, 'originEntry'>, agent: LeasedAgent, now: number): boolean {
+    if (originEntry === undefined) return true
+    if (now - originEntry.aliveAt > MAX_ORIGIN_SILENCE_MS) return false
+    const safeStamp = agent.stamps.receivedBy(originEntry.aliveAt)
+    return safeStamp !== undefined && now - safeStamp.receivedAt <= MAX_STAMP_AGE_MS && agent.echoedStampMs <= safeStamp.stampMs
   }
 
-  private limited (agent: LeasedAgent, now: number): number {
+  private limitedStamp (agent: LeasedAgent, now: number): number {
     let limit = agent.stampMs
-    for (const { aliveAt } of this.open) {
-      const held = now - aliveAt <= FRESH_MS ? agent.stamps.receivedBy(aliveAt) : undefined
-      if (held !== undefined && now - held.receivedAt <= MAX_HELD_MS) limit = Math.min(limit, held.stampMs)
+    for (const { aliveAt } of this.openOrigins) {
+      const safeStamp = now - aliveAt <= MAX_ORIGIN_SILENCE_MS ? agent.stamps.receivedBy(aliveAt) : undefined
+      if (safeStamp !== undefined && now - safeStamp.receivedAt <= MAX_STAMP_AGE_MS) limit = Math.min(limit, safeStamp.stampMs)
     }
     for (const { job } of agent.sent.values()) {
       if (job.originEntry !== undefined) limit = Math.min(limit, agent.stamps.receivedBy(job.originEntry.aliveAt)?.stampMs ?? 0)
--- a/packages/coordination/src/leased/leasedJobs.ts
+++ b/packages/coordination/src/leased/leasedJobs.ts
@@ -5,14 +5,15 @@
 import type { JobDispatcher } from '../handoff/types.js'
 import type { LeasedJob, LeasedJobEnd, LeasedJobSpec } from './leasedJob.js'
 
-/** A caller's hold on a job. */
+/** A caller's wait for a job. */
 export interface Attachment {
+  /** Resolves when the job ends. */
   end: Promise<LeasedJobEnd>
-  /** The caller is gone; without any caller left the job is stopped. */
+  /** To be called when the caller stops waiting. The job is cancelled when no caller remains. */
   leave: () => void
 }
 
-/** Where a job stands, as its caller may ask. */
+/** State of a job as reported to its caller. */
 export type LeasedJobState = 'queued' | 'running' | LeasedJobEnd['type']
 
 interface OpenJob {
@@ -21,46 +22,48 @@
   callers: number
 }
 
-interface Remembered {
+interface RecentAnswer {
   end: LeasedJobEnd
   at: number
 }
 
-/** How long an answer is given again to a submission that arrives once more, in ms. */
+/** How long a repeated submission gets the answer of the first one, in ms. */
 const ANSWER_WINDOW_MS = 10_000
-/** Failures that another try would only repeat. */
+/** Failures that a new attempt is expected to repeat. */
 const FINAL_FAILURES: ReadonlySet<Reason> = new Set([REASONS.taskFailed, REASONS.taskCrashesEndpoints])
+/** Largest number of answers that are remembered, to bound memory. */
 const MAX_ANSWERS = 10_000
 
 /**
- * Jobs that are not kept, by key. A submission that arrives again is the same
- * job while it runs here, and gets the same answer for some seconds. One that
- * was stopped may run again, but only when nothing of it runs any more.
+ * Ephemeral jobs by key, and the callers that wait for them. A repeated submission
+ * attaches to the job while it is open, and gets its answer for some seconds
+ * afterwards. A job that was stopped may be submitted again, but starts only once all
+ * its earlier runs are confirmed terminated.
  */
 export class LeasedJobs {
   private readonly open = new Map<string, OpenJob>()
-  private readonly answers = new Map<string, Remembered>()
+  private readonly recentAnswers = new Map<string, RecentAnswer>()
 
   constructor (private readonly clock: Clock, private readonly dispatcher: JobDispatcher) {}
 
-  /** Jobs that callers wait for. */
+  /** Number of open jobs. */
   get size (): number {
     return this.open.size
   }
 
-  /** Submits a job, or attaches to it. */
+  /** Submits a job, or attaches to it if it is known. */
   submit (spec: LeasedJobSpec): Attachment {
     const key = submissionKey(spec.workspace, spec.id)
-    const remembered = this.answerOf(key)
-    if (remembered !== undefined) return { end: Promise.resolve(remembered), leave: () => {} }
+    const recent = this.answerOf(key)
+    if (recent !== undefined) return { end: Promise.resolve(recent), leave: () => {} }
     const known = this.open.get(key)
     if (known !== undefined) return this.attach(known)
-    const stopping = this.dispatcher.find(key)
-    if (stopping !== undefined) return this.submitOnceOver(spec, stopping)
+    const stoppingJob = this.dispatcher.find(key)
+    if (stoppingJob !== undefined) return this.submitOnceTerminated(spec, stoppingJob)
     return this.begin(spec, key)
   }
 
-  /** Where a job stands; undefined if it is not known here. */
+  /** State of a job; undefined if it is not known here. */
   stateOf (workspace: string, id: string): LeasedJobState | undefined {
     const key = submissionKey(workspace, id)
     const job = this.open.has(key) ? this.dispatcher.find(key) : undefined
@@ -68,7 +71,11 @@
     return this.answerOf(key)?.type
   }
 
-  /** Ends a job early. False if it is not known here. */
+  /**
+   * Ends a job early.
+   *
+   * @returns false if it is not open here
+   */
   cancel (workspace: string, id: string): boolean {
     const known = this.open.get(submissionKey(workspace, id))
     if (known === undefined) return false
@@ -76,7 +83,11 @@
     return true
   }
 
-  /** Ends all that is open, for a stop whose grace time is over; gives the keys. */
+  /**
+   * Ends all open jobs, when the entry stops and its grace time is over.
+   *
+   * @returns keys of the jobs
+   */
   cutAll (): string[] {
     const keys = [...this.open.keys()]
     for (const { job } of [...this.open.values()]) this.dispatcher.cancel(job, REASONS.stopCut, 'the entry stopped before the job ended')
@@ -84,12 +95,12 @@
   }
 
   private begin (spec: LeasedJobSpec, key: string): Attachment {
-    let tell: (end: LeasedJobEnd) => void = () => {}
-    const end = new Promise<LeasedJobEnd>((resolve) => { tell = resolve })
+    let resolveEnd: (end: LeasedJobEnd) => void = () => {}
+    const end = new Promise<LeasedJobEnd>((resolve) => { resolveEnd = resolve })
     const job = this.dispatcher.submit(spec, (value) => {
       this.open.delete(key)
       this.remember(key, value)
-      tell(value)
+      resolveEnd(value)
     })
     const open = { job, end, callers: 0 }
     if (job.end === undefined) this.open.set(key, open)
@@ -105,22 +116,22 @@
         if (hasLeft) return
         hasLeft = true
         open.callers--
-        if (open.callers === 0) this.dispatcher.cancel(open.job, REASONS.callerGone, 'the caller has gone')
+        if (open.callers === 0) this.dispatcher.cancel(open.job, REASONS.callerGone, 'every caller of the job has disconnected')
       }
     }
   }
 
-  private submitOnceOver (spec: LeasedJobSpec, stopping: LeasedJob): Attachment {
+  private submitOnceTerminated (spec: LeasedJobSpec, stoppingJob: LeasedJob): Attachment {
     let hasLeft = false
     let attachment: Attachment | undefined
-    const over = new Promise<void>((resolve) => {
-      const before = stopping.onTerminated
-      stopping.onTerminated = () => {
-        before?.()
+    const terminated = new Promise<void>((resolve) => {
+      const previous = stoppingJob.onTerminated
+      stoppingJob.onTerminated = () => {
+        previous?.()
         resolve()
       }
     })
-    const end = over.then((): Promise<LeasedJobEnd> => {
+    const end = terminated.then((): Promise<LeasedJobEnd> => {
       attachment = this.submit(spec)
       if (hasLeft) attachment.leave()
       return attachment.end
@@ -134,22 +145,22 @@
     }
   }
 
-  /** Only what stays true is remembered: a refused or stopped job may be submitted again. */
+  /** Remembers only final answers: a refused or stopped job may be submitted again. */
   private remember (key: string, end: LeasedJobEnd): void {
     const isFinal = end.type === 'complete' || (end.type === 'failed' && FINAL_FAILURES.has(end.reason))
     if (!isFinal) return
-    this.answers.delete(key)
-    this.answers.set(key, { end, at: this.clock.now() })
-    const oldest = this.clock.now() - ANSWER_WINDOW_MS
-    for (const [other, { at }] of this.answers) {
-      if (at >= oldest && this.answers.size <= MAX_ANSWERS) break
-      this.answers.delete(other)
+    this.recentAnswers.delete(key)
+    this.recentAnswers.set(key, { end, at: this.clock.now() })
+    const cutoff = this.clock.now() - ANSWER_WINDOW_MS
+    for (const [other, { at }] of this.recentAnswers) {
+      if (at >= cutoff && this.recentAnswers.size <= MAX_ANSWERS) break
+      this.recentAnswers.delete(other)
     }
   }
 
   private answerOf (key: string): LeasedJobEnd | undefined {
-    const remembered = this.answers.get(key)
-    const isFresh = remembered !== undefined && this.clock.now() - remembered.at <= ANSWER_WINDOW_MS
-    return isFresh ? remembered.end : undefined
+    const recent = this.recentAnswers.get(key)
+    const isFresh = recent !== undefined && this.clock.now() - recent.at <= ANSWER_WINDOW_MS
+    return isFresh ? recent.end : undefined
   }
 }
--- a/packages/coordination/src/leased/loadRecord.ts
+++ b/packages/coordination/src/leased/loadRecord.ts
@@ -1,12 +1,19 @@
 import type { QueueLoad } from '@hazellift/decisions'
 
-/** Time over which load is remembered, by half in 0.7 of it: bursts last for seconds, and a queue for less. */
-const MEMORY_MS = 1000
-/** What is expected counts like so much time under load: an entry that got no room for a moment is not starved for good. */
+/**
+ * Time constant of the decay of past load, whose half-life is 0.7 of it: bursts last for
+ * seconds, and a backlog for less.
+ */
+const DECAY_MS = 1000
+/**
+ * The expected rate weighs as much as this time of observation while jobs wait. Without
+ * it, an entry that got no capacity for a moment would be starved for good, because it
+ * would forecast endless waits.
+ */
 const PRIOR_MS = 300
 
-/** A sum that fades. */
-class Fading {
+/** A sum whose terms decay exponentially with their age. */
+class DecayingSum {
   private sum = 0
   private at = 0
 
@@ -16,80 +23,87 @@
   }
 
   read (now: number): number {
-    return this.sum * Math.exp((this.at - now) / MEMORY_MS)
+    return this.sum * Math.exp((this.at - now) / DECAY_MS)
   }
 }
 
-/** Work of one queue. */
+/** Recent work of one queue, in milli-cores times ms. */
 class QueueRecord {
-  readonly asked = new Fading()
-  readonly taken = new Fading()
-  readonly started = new Fading()
-  readonly lost = new Fading()
+  readonly arrived = new DecayingSum()
+  readonly admitted = new DecayingSum()
+  readonly started = new DecayingSum()
+  readonly refused = new DecayingSum()
 }
 
-/** Work that arrived at an entry, and work that it could start while some waited; in milli-cores times ms. */
+/**
+ * Recent load of one service at an entry: how much work arrived, was admitted, started
+ * and refused in each queue, and how much the entry could start while jobs waited.
+ * A queue is the jobs of one priority. Work is in milli-cores times ms.
+ */
 export class LoadRecord {
   private readonly records = new Map<number, QueueRecord>()
-  private startedWork = 0
-  private busyMs = 0
-  private readAt = 0
+  private startedWhileWaiting = 0
+  private waitingMs = 0
+  private recordedAt = 0
   private wasWaiting = false
 
   constructor (private readonly now: () => number) {}
 
-  /** A job has come. */
+  /** Records a job that arrived. */
   onArrived (priority: number, work: number): void {
-    this.recordOf(priority).asked.add(work, this.now())
+    this.recordOf(priority).arrived.add(work, this.now())
   }
 
-  /** It was taken on. */
+  /** Records a job that was admitted. */
   onAdmitted (priority: number, work: number): void {
-    this.recordOf(priority).taken.add(work, this.now())
+    this.recordOf(priority).admitted.add(work, this.now())
   }
 
-  /** It was refused, on arrival or after a wait. */
+  /** Records a job that was refused, on arrival or after a wait. */
   onRefused (priority: number, work: number): void {
-    this.recordOf(priority).lost.add(work, this.now())
+    this.recordOf(priority).refused.add(work, this.now())
   }
 
-  /** Work was started, or came back unstarted if negative. */
+  /** Records work that was sent to agents; negative for work that came back without having been started. */
   onStarted (priority: number, work: number): void {
     this.recordOf(priority).started.add(work, this.now())
-    if (this.wasWaiting) this.startedWork += work
+    if (this.wasWaiting) this.startedWhileWaiting += work
   }
 
-  /** Looks at the queue; to be called a few tens of times a second. */
+  /**
+   * Records whether jobs wait; if so, the time until the next call counts as time under
+   * load. To be called a few tens of times a second.
+   */
   recordWaiting (isWaiting: boolean): void {
     const now = this.now()
-    const passedMs = now - this.readAt
+    const passedMs = now - this.recordedAt
     if (this.wasWaiting) {
-      const kept = Math.exp(-passedMs / MEMORY_MS)
-      this.startedWork *= kept
-      this.busyMs = (this.busyMs + passedMs) * kept
+      const decay = Math.exp(-passedMs / DECAY_MS)
+      this.startedWhileWaiting *= decay
+      this.waitingMs = (this.waitingMs + passedMs) * decay
     }
     this.wasWaiting = isWaiting
-    this.readAt = now
+    this.recordedAt = now
   }
 
   /**
-   * What can be started while work waits, in milli-cores.
+   * Returns the rate at which work is started while jobs wait, in milli-cores; at least 1.
    *
-   * @param expectedMilli - before anything was seen; Infinity if nothing is known
+   * @param expectedMilli - rate to expect without observations; Infinity if unknown
    */
   servedMilli (expectedMilli: number): number {
-    return Math.max(1, (this.startedWork + expectedMilli * PRIOR_MS) / (this.busyMs + PRIOR_MS))
+    return Math.max(1, (this.startedWhileWaiting + expectedMilli * PRIOR_MS) / (this.waitingMs + PRIOR_MS))
   }
 
-  /** The queues that asked lately. */
+  /** Recent load of each queue at which work has arrived. */
   get queues (): QueueLoad[] {
     const now = this.now()
-    return [...this.records].map(([priority, { asked, taken, started, lost }]) => ({
+    return [...this.records].map(([priority, { arrived, admitted, started, refused }]) => ({
       priority,
-      arrivedMilli: asked.read(now) / MEMORY_MS,
-      admittedMilli: taken.read(now) / MEMORY_MS,
-      startedMilli: started.read(now) / MEMORY_MS,
-      refusedMilli: lost.read(now) / MEMORY_MS
+      arrivedMilli: arrived.read(now) / DECAY_MS,
+      admittedMilli: admitted.read(now) / DECAY_MS,
+      startedMilli: started.read(now) / DECAY_MS,
+      refusedMilli: refused.read(now) / DECAY_MS
     }))
   }
 
--- a/packages/coordination/tests/leased/entryLeases.test.ts
+++ b/packages/coordination/tests/leased/entryLeases.test.ts
@@ -5,32 +5,35 @@
 import { ProcessClock } from '../processClock.js'
 import type { BootClock } from '../processClock.js'
 
-const AUTHORITY_MS = 600
-const DOUBT_MS = 250
+const ENTRY_LEASE_MS = 600
+/** Time within which an echo must verify a lease after a suspension. */
+const VERIFICATION_MS = 250
 const ENTRY = 'e'
 
-const STATES = { has: 'has', doubtful: 'doubtful', over: 'over' } as const
-type State = typeof STATES[keyof typeof STATES]
+const STATES = { valid: 'valid', unverified: 'unverified', expired: 'expired' } as const
+type LeaseState = typeof STATES[keyof typeof STATES]
 
-/** An agent's authorities with one entry, on clocks that can be moved apart. */
-class Fixture {
+/** An agent's lease from one entry, on a process whose clocks can be made to differ. */
+class LeaseFixture {
   isOpen = true
-  lapses = 0
-  asked = 0
+  /** How often the agent was told to stop runs without a lease. */
+  expiries = 0
+  /** How often the agent was told to request echoes. */
+  echoRequests = 0
   readonly process: ProcessClock
-  private readonly world = createFakeClock()
-  private readonly authorities: EntryLeases
+  private readonly referenceClock = createFakeClock()
+  private readonly leases: EntryLeases
 
-  constructor (boot: BootClock) {
-    this.process = new ProcessClock(this.world, boot)
-    this.authorities = new EntryLeases({
+  constructor (bootClock: BootClock) {
+    this.process = new ProcessClock(this.referenceClock, bootClock)
+    this.leases = new EntryLeases({
       clock: this.process,
       watch: new SuspensionWatch(this.process),
-      entryLeaseMs: AUTHORITY_MS,
-      verificationMs: DOUBT_MS,
+      entryLeaseMs: ENTRY_LEASE_MS,
+      verificationMs: VERIFICATION_MS,
       isOpen: () => this.isOpen,
-      onUnverified: () => { this.asked++ },
-      onExpired: () => { this.lapses++ }
+      onUnverified: () => { this.echoRequests++ },
+      onExpired: () => { this.expiries++ }
     })
     this.pass(1000)
     this.echo()
@@ -40,14 +43,14 @@
     return this.process.now()
   }
 
-  get state (): State {
-    this.authorities.check()
-    if (this.authorities.isValid(ENTRY)) return STATES.has
-    return this.authorities.isUnverified(ENTRY) ? STATES.doubtful : STATES.over
+  get state (): LeaseState {
+    this.leases.check()
+    if (this.leases.isValid(ENTRY)) return STATES.valid
+    return this.leases.isUnverified(ENTRY) ? STATES.unverified : STATES.expired
   }
 
   pass (ms: number): void {
-    this.world.advance(ms)
+    this.referenceClock.advance(ms)
   }
 
   suspend (ms: number): void {
@@ -55,164 +58,164 @@
     this.pass(ms)
   }
 
-  /** The entry echoes a stamp. */
+  /** The entry echoes a timestamp of the agent. */
   echo (stampMs = this.now): void {
-    this.authorities.renew(ENTRY, stampMs)
+    this.leases.renew(ENTRY, stampMs)
   }
 
-  session (isOpen: boolean): void {
+  changeSession (isOpen: boolean): void {
     this.isOpen = isOpen
-    this.authorities.onSessionChange(ENTRY)
+    this.leases.onSessionChange(ENTRY)
   }
 }
 
-describe('authority after the clocks have moved apart', () => {
-  const cases: Array<{ name: string, boot?: BootClock, act: (fixture: Fixture) => void, state: State }> = [
-    { name: 'nothing happened', act: () => {}, state: STATES.has },
-    { name: 'a suspension', act: (fixture) => fixture.suspend(300), state: STATES.doubtful },
-    { name: 'a suspension that is certain', boot: 'true', act: (fixture) => fixture.suspend(300), state: STATES.over },
-    { name: 'a step ahead', boot: 'true', act: ({ process }) => process.stepWallClock(60_000), state: STATES.doubtful },
-    { name: 'a step back', act: ({ process }) => process.stepWallClock(-60_000), state: STATES.has },
+describe('an entry lease after the agent\'s clocks have diverged', () => {
+  const cases: Array<{ name: string, bootClock?: BootClock, act: (fixture: LeaseFixture) => void, state: LeaseState }> = [
+    { name: 'no divergence', act: () => {}, state: STATES.valid },
+    { name: 'suspension without a boot clock', act: (fixture) => fixture.suspend(300), state: STATES.unverified },
+    { name: 'suspension confirmed by the boot clock', bootClock: 'counts_suspensions', act: (fixture) => fixture.suspend(300), state: STATES.expired },
+    { name: 'wall clock set ahead', bootClock: 'counts_suspensions', act: ({ process }) => process.stepWallClock(60_000), state: STATES.unverified },
+    { name: 'wall clock set back', act: ({ process }) => process.stepWallClock(-60_000), state: STATES.valid },
     {
-      name: 'a suspension without a session',
+      name: 'suspension without an open session',
       act: (fixture) => {
         fixture.isOpen = false
         fixture.suspend(300)
       },
-      state: STATES.over
+      state: STATES.expired
     },
     {
-      name: 'a suspension, and the session ends',
+      name: 'suspension, then the session closes',
       act: (fixture) => {
         fixture.suspend(300)
-        fixture.session(false)
+        fixture.changeSession(false)
       },
-      state: STATES.over
+      state: STATES.expired
     },
     {
-      name: 'a suspension, and another session begins',
+      name: 'suspension, then a new session opens',
       act: (fixture) => {
         fixture.suspend(300)
-        fixture.session(true)
+        fixture.changeSession(true)
       },
-      state: STATES.over
+      state: STATES.expired
     },
     {
-      name: 'an echo of a stamp from before',
+      name: 'suspension, echo of earlier timestamp',
       act: (fixture) => {
         fixture.pass(50)
-        const stamp = fixture.now
+        const stampMs = fixture.now
         fixture.suspend(300)
-        fixture.echo(stamp)
+        fixture.echo(stampMs)
       },
-      state: STATES.doubtful
+      state: STATES.unverified
     },
     {
-      name: 'an echo of a later stamp',
+      name: 'suspension, echo of later timestamp',
       act: (fixture) => {
         fixture.suspend(300)
         fixture.echo()
         fixture.pass(10)
         fixture.echo()
       },
-      state: STATES.has
+      state: STATES.valid
     },
     {
-      name: 'a later stamp, and another suspension before its echo',
+      name: 'second suspension before the echo',
       act: (fixture) => {
         fixture.suspend(300)
-        expect(fixture.state).toBe(STATES.doubtful)
+        expect(fixture.state).toBe(STATES.unverified)
         fixture.pass(10)
-        const stamp = fixture.now
+        const stampMs = fixture.now
         fixture.suspend(300)
-        fixture.echo(stamp)
+        fixture.echo(stampMs)
       },
-      state: STATES.doubtful
+      state: STATES.unverified
     },
     {
-      name: 'no echo for too long',
+      name: 'suspension, no echo in time',
       act: (fixture) => {
         fixture.suspend(300)
-        expect(fixture.state).toBe(STATES.doubtful)
-        fixture.pass(DOUBT_MS + 5)
+        expect(fixture.state).toBe(STATES.unverified)
+        fixture.pass(VERIFICATION_MS + 5)
       },
-      state: STATES.over
+      state: STATES.expired
     },
     {
-      name: 'suspensions that follow one another, for too long',
+      name: 'repeated suspensions, no echo in time',
       act: (fixture) => {
-        for (let times = 0; times < 5; times++) {
+        for (let count = 0; count < 5; count++) {
           fixture.suspend(30)
-          expect(fixture.state).toBe(STATES.doubtful)
+          expect(fixture.state).toBe(STATES.unverified)
           fixture.pass(49)
         }
         fixture.suspend(30)
         fixture.pass(20)
       },
-      state: STATES.over
+      state: STATES.expired
     },
     {
-      name: 'a late echo, after the doubt',
+      name: 'suspension, late echo stops runs first',
       act: (fixture) => {
         fixture.suspend(300)
-        expect(fixture.state).toBe(STATES.doubtful)
-        fixture.pass(DOUBT_MS + 5)
-        const { lapses } = fixture
+        expect(fixture.state).toBe(STATES.unverified)
+        fixture.pass(VERIFICATION_MS + 5)
+        const { expiries } = fixture
         fixture.echo()
-        expect(fixture.lapses).toBeGreaterThan(lapses)
+        expect(fixture.expiries).toBeGreaterThan(expiries)
       },
-      state: STATES.has
+      state: STATES.valid
     },
     {
-      name: 'authority that ends within the doubt',
+      name: 'suspension, lease runs out unverified',
       act: (fixture) => {
-        fixture.pass(AUTHORITY_MS - 50)
+        fixture.pass(ENTRY_LEASE_MS - 50)
         fixture.suspend(300)
-        expect(fixture.state).toBe(STATES.doubtful)
+        expect(fixture.state).toBe(STATES.unverified)
         fixture.pass(60)
       },
-      state: STATES.over
+      state: STATES.expired
     },
     {
-      name: 'steps ahead and back, again and again, each echoed',
+      name: 'wall clock steps, each with an echo',
       act: (fixture) => {
         for (const ms of [5000, -5000, 5000, -5000]) {
           fixture.process.stepWallClock(ms)
-          expect(fixture.state).toBe(ms > 0 ? STATES.doubtful : STATES.has)
+          expect(fixture.state).toBe(ms > 0 ? STATES.unverified : STATES.valid)
           fixture.pass(10)
           fixture.echo()
-          expect(fixture.state).toBe(STATES.has)
+          expect(fixture.state).toBe(STATES.valid)
         }
       },
-      state: STATES.has
+      state: STATES.valid
     }
   ]
-  it.each(cases)('$name', ({ boot = 'none', act, state }) => {
-    const fixture = new Fixture(boot)
+  it.each(cases)('$name: the lease is $state', ({ bootClock = 'unavailable', act, state }) => {
+    const fixture = new LeaseFixture(bootClock)
     act(fixture)
     expect(fixture.state).toBe(state)
   })
 
-  it('a doubt asks for echoes, and whatever has ended is stopped', () => {
-    const fixture = new Fixture('none')
+  it('an unverified lease requests echoes once, and runs are stopped when the verification time ends', () => {
+    const fixture = new LeaseFixture('unavailable')
     fixture.suspend(300)
-    expect(fixture.state).toBe(STATES.doubtful)
-    expect(fixture.asked).toBe(1)
-    const { lapses } = fixture
-    fixture.pass(DOUBT_MS + 5)
-    expect(fixture.lapses).toBe(lapses + 1)
+    expect(fixture.state).toBe(STATES.unverified)
+    expect(fixture.echoRequests).toBe(1)
+    const { expiries } = fixture
+    fixture.pass(VERIFICATION_MS + 5)
+    expect(fixture.expiries).toBe(expiries + 1)
   })
 
-  it('an entry that was not known before gets no authority by a stamp from before', () => {
-    const world = createFakeClock()
-    const process = new ProcessClock(world)
-    const authorities = new EntryLeases({
-      clock: process, watch: new SuspensionWatch(process), entryLeaseMs: AUTHORITY_MS, verificationMs: DOUBT_MS, isOpen: () => true, onUnverified: () => {}, onExpired: () => {}
+  it('an echo of a timestamp from before a suspension grants no lease to an entry that had none', () => {
+    const referenceClock = createFakeClock()
+    const process = new ProcessClock(referenceClock)
+    const leases = new EntryLeases({
+      clock: process, watch: new SuspensionWatch(process), entryLeaseMs: ENTRY_LEASE_MS, verificationMs: VERIFICATION_MS, isOpen: () => true, onUnverified: () => {}, onExpired: () => {}
     })
-    world.advance(1000)
+    referenceClock.advance(1000)
     process.suspend(5000)
-    world.advance(5000)
-    authorities.renew('new', 900)
-    expect(authorities.isValid('new')).toBe(false)
+    referenceClock.advance(5000)
+    leases.renew('new', 900)
+    expect(leases.isValid('new')).toBe(false)
   })
 })
--- a/packages/lab/src/labEndpoint.ts
+++ b/packages/lab/src/labEndpoint.ts
@@ -122,7 +122,7 @@
   }
 
   private show (): PollOutcome {
-    return { type: 'held', running: [...this.runs.values()].map(({ submission, index, run }) => ({ submission, index, run })), ended: [...this.ends] }
+    return { type: 'listed', running: [...this.runs.values()].map(({ submission, index, run }) => ({ submission, index, run })), ended: [...this.ends] }
   }
 
   private onStart ({ submission, index, run, runLeaseMs: holdMs }: StartOrder, sentAt: number): StartOutcome {
--- a/packages/sessions/src/handOnStreams.ts
+++ b/packages/sessions/src/handOnStreams.ts
@@ -14,7 +14,7 @@
 
 /** What a stream to a neighbour needs. */
 export interface DialHandOnOptions {
-  jobs: Pick<HandedOnJobs, 'open' | 'closed' | 'onFrame' | 'stamp'>
+  jobs: Pick<HandedOnJobs, 'open' | 'closed' | 'onFrame' | 'fillFrame'>
   entryId: string
   zone: string
   /** Ends the stream. */
@@ -62,7 +62,7 @@
 
 /** The other side: entries that hand work to this one, one task a stream. */
 class HandOnServer {
-  constructor (private readonly jobs: Pick<HostedJobs, 'open' | 'closed' | 'onFrame' | 'stamp'>) {}
+  constructor (private readonly jobs: Pick<HostedJobs, 'open' | 'closed' | 'onFrame' | 'fillFrame'>) {}
 
   readonly service: ServiceImpl<typeof HandOnService> = { open: (frames, context) => this.open(frames, context) }
 
@@ -101,4 +101,4 @@
  *
  * @param jobs - what runs their jobs
  */
-export const createHandOnService = (jobs: Pick<HostedJobs, 'open' | 'closed' | 'onFrame' | 'stamp'>): ServiceImpl<typeof HandOnService> => new HandOnServer(jobs).service
+export const createHandOnService = (jobs: Pick<HostedJobs, 'open' | 'closed' | 'onFrame' | 'fillFrame'>): ServiceImpl<typeof HandOnService> => new HandOnServer(jobs).service
