--- a/packages/coordination/src/handoff/handOnPeer.ts
+++ b/packages/coordination/src/handoff/handOnPeer.ts
@@ -1,4 +1,4 @@
-import type { NeighbourView, OwnView } from '@hazellift/decisions'
+import type { NeighbourView, EntryLoadView } from '@hazellift/decisions'
 import type { CallerFrame, HandOnNews } from '@hazellift/protocol'
 import type { LeasedJob } from '../leased/leasedJob.js'
 import type { HandOnLink } from './types.js'
@@ -54,16 +54,16 @@
   viewOf (service: string, now: number): PeerView {
     this.unseen = this.unseen.filter(({ at }) => now - at < UNSEEN_MS)
     const room = this.news?.rooms.find((other) => other.service === service)
-    const own: OwnView = { lagMs: this.news?.lagMs ?? 0, waitMs: room?.waitMs ?? 0 }
+    const own: EntryLoadView = { lagMs: this.news?.lagMs ?? 0, waitMs: room?.waitMs ?? 0 }
     return {
       peer: this,
       zone: this.zone,
-      toldAt: this.heardAt,
+      receivedAt: this.heardAt,
       isOpen: this.isOpen && room !== undefined,
       isStopping: this.news?.stopping ?? false,
       ...own,
       freeMilli: room?.freeMilli ?? 0,
-      unseenMilli: this.unseen.reduce((sum, { milli }) => sum + milli, 0)
+      unreportedMilli: this.unseen.reduce((sum, { milli }) => sum + milli, 0)
     }
   }
 }
--- a/packages/coordination/src/handoff/handedOnJobs.ts
+++ b/packages/coordination/src/handoff/handedOnJobs.ts
@@ -1,6 +1,6 @@
 import type { Clock } from '@hazellift/common'
 import { handOn } from '@hazellift/decisions'
-import type { CallerView, HandOnLimits, KeepReason } from '@hazellift/decisions'
+import type { OriginView, HandOnLimits, KeepReason } from '@hazellift/decisions'
 import { HAND_ON_ENDS, REASONS } from '@hazellift/protocol'
 import type { CallerFrame, HandOnEnd, HostFrame, Reason } from '@hazellift/protocol'
 import { createLeasedJob } from '../leased/leasedJob.js'
@@ -20,7 +20,7 @@
 
 /** What handing on tells its owner, for logs and metrics. */
 export interface HandOnEvents {
-  handedOn: (job: LeasedJob, to: PeerView, gainMs: number, newsMs: number, own: CallerView) => void
+  handedOn: (job: LeasedJob, to: PeerView, gainMs: number, newsMs: number, own: OriginView) => void
   kept: (reason: KeepReason) => void
   /** Its end was heard from the other entry, or its caller has gone. */
   ended: (job: LeasedJob, end: LeasedJobEnd) => void
@@ -35,7 +35,7 @@
   zone: string
   times: LeaseTimes
   dispatcher: JobDispatcher
-  own: () => CallerView
+  own: () => OriginView
   limits: () => HandOnLimits
   events: HandOnEvents
 }
@@ -176,7 +176,7 @@
     const decision = handOn({ count: spec.count, needMilli: spec.count * spec.need.cpuMilli }, {
       now,
       zone,
-      isShort: this.watch.isShort(now),
+      isOverloaded: this.watch.isShort(now),
       own: own(),
       neighbours: [...this.peers].map((peer) => peer.viewOf(spec.service, now)),
       outstanding: this.jobs.size,
@@ -186,7 +186,7 @@
       events.kept(decision.reason)
       return undefined
     }
-    events.handedOn(createLeasedJob(spec, now, this.expectedMs(spec), () => {}), decision.to, decision.gainMs, Math.round(now - decision.to.toldAt), own())
+    events.handedOn(createLeasedJob(spec, now, this.expectedMs(spec), () => {}), decision.to, decision.gainMs, Math.round(now - decision.to.receivedAt), own())
     return decision.to.peer
   }
 
@@ -218,7 +218,7 @@
     const now = clock.now()
     const isUntouched = reason === 'refused'
     // Nobody may have it under its key, and what has run is not begun anew for an answer of no use.
-    const isPlaced = dispatcher.find(job.key) === undefined && (isUntouched || now + job.expectedMs < job.uselessAt)
+    const isPlaced = dispatcher.find(job.key) === undefined && (isUntouched || now + job.expectedMs < job.expiresAt)
     events.returned(job, reason, isPlaced)
     if (!isPlaced) return this.finish(job, LOST)
     const inner = dispatcher.submit(remainingSpec(job, now - job.arrivedAt), (end) => {
--- a/packages/coordination/src/handoff/hostedJobs.ts
+++ b/packages/coordination/src/handoff/hostedJobs.ts
@@ -1,7 +1,7 @@
 import { create } from '@bufbuild/protobuf'
 import type { Clock } from '@hazellift/common'
 import { findHostRefusal } from '@hazellift/decisions'
-import type { HostRefusal, OwnView } from '@hazellift/decisions'
+import type { HostRefusal, EntryLoadView } from '@hazellift/decisions'
 import { HAND_ON_ENDS, HandOnEndSchema, HandOnNewsSchema, REASONS } from '@hazellift/protocol'
 import type { CallerFrame, HandOnEnd, HandOnHello, HandOnOffer, HostFrame, Reason } from '@hazellift/protocol'
 import type { Sponsor } from '../leased/heldEchoes.js'
@@ -34,7 +34,7 @@
   fleet: LeasedFleet
   /** Finds a job under this key wherever this entry has it. */
   find: (key: string) => LeasedJob | undefined
-  own: () => OwnView
+  own: () => EntryLoadView
   isStopping: () => boolean
   events: {
     hosted: (entryId: string, job: LeasedJob, aliveMs: number) => void
--- a/packages/coordination/src/handoff/shortWatch.ts
+++ b/packages/coordination/src/handoff/shortWatch.ts
@@ -1,5 +1,5 @@
 import { needsHelp } from '@hazellift/decisions'
-import type { CallerView } from '@hazellift/decisions'
+import type { OriginView } from '@hazellift/decisions'
 
 /** A moment of it calls for nothing. */
 const SHORT_FOR_MS = 300
@@ -19,7 +19,7 @@
   private restsUntil = -Infinity
 
   /** Looks at what the entry observes of itself; to be called a few tens of times a second. */
-  look (own: CallerView, now: number): void {
+  look (own: OriginView, now: number): void {
     const was = this.isShortNow
     this.isShortNow = needsHelp(own, was)
     if (this.isShortNow && !was) this.since = now
--- a/packages/coordination/src/leased/leasedDispatcher.ts
+++ b/packages/coordination/src/leased/leasedDispatcher.ts
@@ -1,5 +1,5 @@
 import { create } from '@bufbuild/protobuf'
-import { workLeft } from '@hazellift/decisions'
+import { queuedWork } from '@hazellift/decisions'
 import { REASONS, RevokeSchema, TASK_OUTCOMES } from '@hazellift/protocol'
 import type { Reason, TaskResult } from '@hazellift/protocol'
 import { findStragglers } from './findStragglers.js'
@@ -95,7 +95,7 @@
   submit (spec: LeasedJobSpec, onEnd: (end: LeasedJobEnd) => void): LeasedJob {
     const { clock } = this.options
     const job = createLeasedJob(spec, clock.now(), this.expectedMs(spec), onEnd)
-    this.fleet.serviceOf(job.service).load.onAsked(job.priority, workLeft(job))
+    this.fleet.serviceOf(job.service).load.onAsked(job.priority, queuedWork(job))
     const refusal = this.suspects.endOf(job) ?? (this.isJoining ? undefined : findRefusal(job, this.fleet, this.fleet.loadOf(job.service), this.fleet.policy))
     if (refusal === undefined) this.take(job)
     else this.finish(job, refusal)
@@ -105,7 +105,7 @@
   private take (job: LeasedJob): void {
     this.jobs.set(job.key, job)
     const { queue, load } = this.fleet.serviceOf(job.service)
-    load.onTaken(job.priority, workLeft(job))
+    load.onTaken(job.priority, queuedWork(job))
     queue.add(job)
     this.sender.schedule(job.service)
   }
@@ -230,7 +230,7 @@
 
   private finish (job: LeasedJob, end: LeasedJobEnd): void {
     if (job.end !== undefined) return
-    if (end.type === 'refused') this.fleet.serviceOf(job.service).load.onRefused(job.priority, workLeft(job))
+    if (end.type === 'refused') this.fleet.serviceOf(job.service).load.onRefused(job.priority, queuedWork(job))
     job.end = end
     job.queue = []
     this.fleet.services.get(job.service)?.queue.remove(job)
--- a/packages/coordination/src/leased/leasedJob.ts
+++ b/packages/coordination/src/leased/leasedJob.ts
@@ -1,6 +1,6 @@
 import type { Sponsor } from './heldEchoes.js'
 import { submissionKey } from '../tasks/keys.js'
-import { giveUpAt } from '@hazellift/decisions'
+import { shedAt } from '@hazellift/decisions'
 import type { JobView, QueueShare, Resources } from '@hazellift/decisions'
 import type { Reason } from '@hazellift/protocol'
 
@@ -111,7 +111,7 @@
   return {
     dueAt: Math.min(deadlineAt, arrivedAt + objectiveMs),
     uselessAt,
-    giveUpAt: giveUpAt({ arrivedAt, objectiveMs, expectedMs, deadlineMs }),
+    giveUpAt: shedAt({ arrivedAt, objectiveMs, expectedMs, deadlineMs }),
     deadlineAt
   }
 }
--- a/packages/coordination/src/leased/roomOffers.ts
+++ b/packages/coordination/src/leased/roomOffers.ts
@@ -1,7 +1,7 @@
 import { create } from '@bufbuild/protobuf'
 import type { Clock } from '@hazellift/common'
-import { isScarce, offer, OFFER_MS } from '@hazellift/decisions'
-import type { Offer, Resources, WantingEntry } from '@hazellift/decisions'
+import { isScarce, offerCapacity, CAPACITY_OFFER_MS } from '@hazellift/decisions'
+import type { OfferCapacity, Resources, EntryDemand } from '@hazellift/decisions'
 import { RoomSchema } from '@hazellift/protocol'
 import type { AgentFrame } from '@hazellift/protocol'
 import type { LeasedSession } from './hostSessions.js'
@@ -17,7 +17,7 @@
   /** The whole. */
   capacity: () => Resources
   /** Decides in place of the product's rule, for measurements. */
-  offer?: Offer
+  offer?: OfferCapacity
 }
 
 /** Tells entries of the room at an endpoint: all of them while there is much, one at a time when it is scarce. */
@@ -25,7 +25,7 @@
   private readonly turns: RoomTurns
 
   constructor (private readonly options: RoomOffersOptions) {
-    this.turns = new RoomTurns(options.clock.now, options.offer ?? offer)
+    this.turns = new RoomTurns(options.clock.now, options.offer ?? offerCapacity)
   }
 
   /** Adds the room to a frame, if the entry does not know it. */
@@ -65,8 +65,8 @@
     return isOffered ? free : { cpuMilli: 0, memoryMb: 0 }
   }
 
-  private get wanting (): WantingEntry[] {
-    const wanting: WantingEntry[] = []
+  private get wanting (): EntryDemand[] {
+    const wanting: EntryDemand[] = []
     for (const [incarnation, { wantingPriority }] of this.options.sessions) {
       if (wantingPriority === undefined) continue
       wanting.push({ incarnation, priority: wantingPriority, servedAt: this.turns.serveOf(incarnation) })
@@ -88,7 +88,7 @@
   private offerTo (holder: string, others: number): void {
     const { sessions, clock } = this.options
     sessions.get(holder)?.add(() => {})
-    if (others > 0) clock.after(OFFER_MS, () => this.passOn(holder, others))
+    if (others > 0) clock.after(CAPACITY_OFFER_MS, () => this.passOn(holder, others))
   }
 
   private passOn (holder: string, others: number): void {
--- a/packages/coordination/tests/handoff/handOnNetwork.ts
+++ b/packages/coordination/tests/handoff/handOnNetwork.ts
@@ -1,5 +1,5 @@
 import { create } from '@bufbuild/protobuf'
-import type { CallerView, HandOnLimits } from '@hazellift/decisions'
+import type { OriginView, HandOnLimits } from '@hazellift/decisions'
 import { CallerFrameSchema, HandOnHelloSchema, HostFrameSchema } from '@hazellift/protocol'
 import { HandedOnJobs, HostedJobs, LeasedJobs, longestWait } from '../../src/index.js'
 import type { HandOnLink } from '../../src/index.js'
@@ -90,7 +90,7 @@
     const leased = this.leased.entries[index]!
     const { dispatcher } = leased
     const { clock } = this.leased
-    const own = (): CallerView => ({ lagMs: entry.lagMs, returnedShare: 0, waitMs: longestWait(dispatcher.fleet, clock.now()) })
+    const own = (): OriginView => ({ lagMs: entry.lagMs, returnedShare: 0, waitMs: longestWait(dispatcher.fleet, clock.now()) })
     const router = new HandedOnJobs({
       clock,
       zone: ZONE,
--- a/packages/coordination/tests/leased/replayQueues.ts
+++ b/packages/coordination/tests/leased/replayQueues.ts
@@ -1,7 +1,7 @@
 import { seededRandom } from '@hazellift/common'
 import type { Random } from '@hazellift/common'
-import { POLICY, workLeft } from '@hazellift/decisions'
-import type { LoadView, Shares } from '@hazellift/decisions'
+import { POLICY, queuedWork } from '@hazellift/decisions'
+import type { LoadView, ComputeShares } from '@hazellift/decisions'
 import { createLeasedJob } from '../../src/index.js'
 import type { LeasedJob } from '../../src/index.js'
 import { findHopeless } from '../../src/leased/leasedAdmission.js'
@@ -59,7 +59,7 @@
   private jobs = 0
   private serves = 0
 
-  constructor (entries: number, private readonly shares: Shares, seed: number) {
+  constructor (entries: number, private readonly shares: ComputeShares, seed: number) {
     this.random = seededRandom(seed)
     this.entries = Array.from({ length: entries }, () => ({ queue: new LeasedQueue(POLICY.order), load: new LoadRecord(() => this.now), servedAt: 0 }))
   }
@@ -105,10 +105,10 @@
       deadlineMs: 4 * (1.6 * runMs + 60)
     }, this.now, runMs, () => {})
     if (this.isBurst) this.result.queues.get(priority)!.asked++
-    entry.load.onAsked(priority, workLeft(job))
+    entry.load.onAsked(priority, queuedWork(job))
     const view = { capacityMilli: SLOTS * SLOT.cpuMilli, load: this.viewOf(entry), waiting: entry.queue, waitingCount: entry.queue.size }
-    if (POLICY.admit(job, view).type !== 'taken') return entry.load.onRefused(priority, workLeft(job))
-    entry.load.onTaken(priority, workLeft(job))
+    if (POLICY.admit(job, view).type !== 'taken') return entry.load.onRefused(priority, queuedWork(job))
+    entry.load.onTaken(priority, queuedWork(job))
     entry.queue.add(job)
   }
 
@@ -152,7 +152,7 @@
       load.onLook(queue.size > 0)
       const view = this.viewOf(entry)
       for (const { job } of findHopeless(queue.inOrder(this.now, view), this.now, view, POLICY)) {
-        load.onRefused(job.priority, workLeft(job))
+        load.onRefused(job.priority, queuedWork(job))
         queue.remove(job)
       }
     }
@@ -167,4 +167,4 @@
  * @param shares - decides what is kept for each queue
  * @param seed - of arrivals
  */
-export const replayQueues = (entries: number, shares: Shares, seed: number): Replay => new QueueReplay(entries, shares, seed).play()
+export const replayQueues = (entries: number, shares: ComputeShares, seed: number): Replay => new QueueReplay(entries, shares, seed).play()
--- a/packages/lab/src/labWorld.ts
+++ b/packages/lab/src/labWorld.ts
@@ -3,7 +3,7 @@
 import { LeasedDispatcher, LeasedHost, LeasedJobs } from '@hazellift/coordination'
 import type { LeasedDispatchEvents, LeaseTimes, RunEnd, RunRef } from '@hazellift/coordination'
 import { fits } from '@hazellift/decisions'
-import type { EntryPlace, Policy, Resources } from '@hazellift/decisions'
+import type { EntryLocation, Policy, Resources } from '@hazellift/decisions'
 import { REASONS } from '@hazellift/protocol'
 import { EntryDialer } from '@hazellift/sessions'
 import { createLabCaller } from './createLabCaller.js'
@@ -150,7 +150,7 @@
   }
 
   /** The rows of entries stay in the store while their processes are away. */
-  private get places (): EntryPlace[] {
+  private get places (): EntryLocation[] {
     return this.entries.map(({ zone }, index) => ({ address: String(index), zone }))
   }
 
