--- a/packages/coordination/src/leased/leasedAgent.ts
+++ b/packages/coordination/src/leased/leasedAgent.ts
@@ -58,7 +58,7 @@
   /** The highest stamp echoed to this process of it, on any session. */
   echoedStampMs = 0
   /** When its last frame was read. */
-  heardAt = 0
+  receivedAt = 0
   /** When it was last echoed to the agent. */
   echoedAt = 0
   /** Run times at its endpoint lately against the expected ones, as the agent sees those of all entries. */
@@ -90,7 +90,7 @@
   }
 
   /** What can be sent on top of everything sent before. */
-  get room (): Resources {
+  get freeCapacity (): Resources {
     return this.left
   }
 
@@ -98,7 +98,7 @@
   connect (link: AgentLink, now: number): void {
     this.link?.close()
     this.link = link
-    this.heardAt = now
+    this.receivedAt = now
     this.isResumed = false
     this.hasToldEndpoint = false
     this.knowsWanting = false
--- a/packages/coordination/src/leased/leasedJob.ts
+++ b/packages/coordination/src/leased/leasedJob.ts
@@ -107,11 +107,11 @@
 const timesOf = ({ objective, deadlineMs }: LeasedJobSpec, arrivedAt: number, expectedMs: number) => {
   const objectiveMs = objective.stretch * expectedMs + objective.slackMs - OVERHEAD_MS
   const deadlineAt = arrivedAt + deadlineMs
-  const uselessAt = Math.min(deadlineAt, arrivedAt + objective.lateFactor * objectiveMs)
+  const expiresAt = Math.min(deadlineAt, arrivedAt + objective.lateFactor * objectiveMs)
   return {
     dueAt: Math.min(deadlineAt, arrivedAt + objectiveMs),
-    uselessAt,
-    giveUpAt: shedAt({ arrivedAt, objectiveMs, expectedMs, deadlineMs }),
+    expiresAt: expiresAt,
+    shedAt: shedAt({ arrivedAt, objectiveMs, expectedMs, deadlineMs }),
     deadlineAt
   }
 }
--- a/packages/coordination/src/leased/leasedSessions.ts
+++ b/packages/coordination/src/leased/leasedSessions.ts
@@ -145,7 +145,7 @@
     if (agent.link === link) this.checkLost(agent, now)
     if (agent.link !== link) return
     agent.stampMs = frame.stampMs
-    agent.heardAt = now
+    agent.receivedAt = now
     this.options.fleet.echoes.onStamp(agent, now)
     if (frame.slowness > 0) agent.slowness = frame.slowness
     agent.entryCount = Math.max(1, frame.entries)
@@ -235,7 +235,7 @@
 
   private checkLost (agent: LeasedAgent, now: number): void {
     const { times, events, fleet } = this.options
-    const silentMs = now - agent.heardAt
+    const silentMs = now - agent.receivedAt
     if (silentMs < provedOverMs(times)) return
     if (agent.sent.size > 0) {
       events.agentLost(agent.agentId, Math.round(silentMs), agent.sent.size)
--- a/packages/coordination/src/leased/loadRecord.ts
+++ b/packages/coordination/src/leased/loadRecord.ts
@@ -86,8 +86,8 @@
     const now = this.now()
     return [...this.records].map(([priority, { asked, taken, started, lost }]) => ({
       priority,
-      askedMilli: asked.read(now) / MEMORY_MS,
-      takenMilli: taken.read(now) / MEMORY_MS,
+      arrivedMilli: asked.read(now) / MEMORY_MS,
+      admittedMilli: taken.read(now) / MEMORY_MS,
       startedMilli: started.read(now) / MEMORY_MS,
       refusedMilli: lost.read(now) / MEMORY_MS
     }))
