--- a/packages/decisions/src/admit.ts
+++ b/packages/decisions/src/admit.ts
@@ -1,46 +1,46 @@
 /**
- * Whether a job is taken on.
+ * Admission control: decides whether an arriving job is accepted.
  *
- * Load: a burst over capacity, or capacity that is lost. A caller who can't be
- * served hears so at once and may go elsewhere; a job that waits in vain keeps
- * its caller, and the queue grows.
+ * In a burst over capacity, or after a loss of capacity, a caller that cannot be
+ * served is refused at once and may go elsewhere. A job that waits in vain holds
+ * up its caller and makes the queue longer.
  */
 import { forecastWait, workAhead } from './forecast.js'
 import type { LoadView } from './forecast.js'
 import type { JobView } from './types.js'
 
-/** What an entry knows when a job arrives. */
+/** State of a service at an entry when a job arrives. */
 export interface AdmitView {
-  /** Thousandths of a core of all endpoints of the service. */
+  /** Capacity of all endpoints of the service, in thousandths of a core. */
   readonly capacityMilli: number
-  /** What this entry serves of them. */
+  /** Load of this entry. */
   readonly load: LoadView
   /** Jobs that wait at this entry. */
   readonly waiting: Iterable<JobView>
   readonly waitingCount: number
 }
 
-/** Whether a job is taken on, and if not, why. */
+/** Whether a job is admitted, and if not, why. */
 export type Admission =
   | { type: 'taken' }
   /** No endpoint serves the job. */
   | { type: 'no_capacity' }
-  /** More jobs wait than an entry keeps. */
+  /** `MAX_WAITING_JOBS` are waiting. */
   | { type: 'too_many' }
-  /** What goes before it takes so long that it would be given up. */
+  /** The work ahead of it takes so long that it would be shed. */
   | { type: 'too_late', waitMs: number }
 
 /** Decides on a job that has just arrived. */
 export type Admit = (job: JobView, view: AdmitView) => Admission
 
-/** Backlog that an entry may take on, whatever its jobs ask for: some megabytes, and a queue that is still sorted in a millisecond. */
+/** Bounds the backlog of an entry, whatever its jobs need: some megabytes, and a queue that can be sorted in a millisecond. */
 export const MAX_WAITING_JOBS = 2000
 
 /**
- * Takes a job on unless nobody serves it, or what goes before it takes so long
- * that it would be given up.
+ * Admits a job unless no endpoint serves it, too many jobs wait, or the work
+ * ahead of it takes so long that it would be shed.
  *
- * @param job - not queued yet
+ * @param job - the job, not queued yet
  * @param view - endpoints and queue of its service
  */
 export const admit: Admit = (job, { capacityMilli, load, waiting, waitingCount }) => {
--- a/packages/decisions/src/eject.ts
+++ b/packages/decisions/src/eject.ts
@@ -1,35 +1,37 @@
 /**
- * Which endpoints get no work for a while.
+ * Outlier ejection: decides which endpoints get no work for a while.
  *
- * Load: an endpoint fails what it starts and is free again at once, so it draws
- * ever more work. A job that fails everywhere must not condemn any endpoint.
+ * An endpoint that fails the tasks it starts is free again at once, so it
+ * attracts ever more of them. Failures of a job that fails everywhere must not
+ * eject any endpoint.
  */
 
-/** What is known of an endpoint's starts. */
+/** Record of the starts at one endpoint. */
 export interface EndpointRecordView {
-  /** Moving share of failed starts. */
+  /** Moving average of the share of failed starts, from 0 to 1. */
   readonly failureShare: number
-  /** Starts that ended since its record began. */
+  /** Starts that ended since the record began. */
   readonly samples: number
-  /** True while it gets work as usual. */
+  /** False while the endpoint is ejected or being probed. */
   readonly isHealthy: boolean
 }
 
-/** Fewer ends than this say nothing. */
+/** An endpoint with fewer ended starts is not judged: so few say nothing. */
 const MIN_SAMPLES = 3
-/** Less than this share of failed starts is borne: retries cost less than the endpoint's room. */
+/** A smaller share of failed starts is tolerated: retries cost less than the endpoint's capacity is worth. */
 const MIN_FAILURE_SHARE = 0.45
-/** How many times the failures of its peers an endpoint must show. */
+/** An endpoint is ejected only if its share of failed starts exceeds that of its peers by this factor. */
 const PEER_FACTOR = 2
 
-/** True if the endpoint fails far more than its peers. */
+/** True if the endpoint fails far more often than its peers. */
 export type Eject = (record: EndpointRecordView, peers: readonly EndpointRecordView[]) => boolean
 
 /**
- * Compares with the peers that get work as usual; without any there is nothing to compare with.
+ * Compares an endpoint with its healthy peers; without any there is nothing to
+ * compare with, and it is not ejected.
  *
- * @param record - of the endpoint that has just failed a start
- * @param peers - of the other endpoints of its service
+ * @param record - the endpoint where a start has just failed
+ * @param peers - the other endpoints of its service
  */
 export const eject: Eject = ({ failureShare, samples }, peers) => {
   if (samples < MIN_SAMPLES || failureShare < MIN_FAILURE_SHARE) return false
--- a/packages/decisions/src/forecast.ts
+++ b/packages/decisions/src/forecast.ts
@@ -1,27 +1,27 @@
 /**
- * How long what waits will wait.
+ * Forecasts how long a job will wait for its first start.
  *
- * Load: more work arrives than the endpoints can do. Most refusals of a burst
- * came after a wait in vain, as nobody had worked out at the start that no room
- * would come in time. What is ahead of a job is not all: while it waits, more
- * urgent work arrives and goes first.
+ * When more work arrives than the endpoints can do, a job that cannot start in
+ * time should be refused at once; without a forecast most refusals of a burst
+ * come after a wait in vain. The work ahead of a job is not all that it waits
+ * for: more urgent work that arrives meanwhile goes first, too.
  */
 import { isBelowFloor } from './shares.js'
 import type { QueueShare } from './shares.js'
 import type { JobView } from './types.js'
 
-/** Work of an entry lately, in milli-cores: work of a thousandth of a core a ms. */
+/** Recent load of one service at an entry. Rates are in milli-cores: work per ms that occupies a thousandth of a core. */
 export interface LoadView {
-  /** What it could start while work waited: its part of the endpoints, as observed. */
+  /** Work that the entry could start while some waited: its observed share of the endpoints. */
   readonly servedMilli: number
-  /** Those that asked for work lately, with what is kept for each. */
+  /** The queues with recent arrivals, each with its floor. */
   readonly queues: readonly QueueShare[]
 }
 
-/** Nothing is known of any load. */
+/** The load of an entry that has observed nothing yet: every job is expected to start at once. */
 export const UNKNOWN_LOAD: LoadView = { servedMilli: Infinity, queues: [] }
 
-/** What goes before a job, in milli-cores times ms. */
+/** Work that goes before a job, in milli-cores times ms. */
 export interface WorkAhead {
   /** Of all queues. */
   readonly all: number
@@ -29,7 +29,7 @@
   readonly own: number
 }
 
-/** Work that goes before a job of this priority, of the jobs that wait. */
+/** Sums up the work of the waiting jobs that go before a new job of this priority. */
 export const workAhead = (waiting: Iterable<JobView>, priority: number): WorkAhead => {
   let [all, own] = [0, 0]
   for (const job of waiting) {
@@ -42,28 +42,29 @@
 }
 
 /**
- * At least this part of what is served is counted on, however much urgent work
- * arrives: a burst may end, and with much less the least urgent jobs would be
- * turned away too often.
+ * At least this share of what the entry serves is assumed to remain for a job,
+ * however much urgent work arrives: a burst may end, and a much smaller share
+ * would refuse the least urgent jobs too often.
  */
 const MIN_REMAINING_SHARE = 0.35
 
-/** Work of the tasks that wait, in milli-cores times ms. */
+/** Work of a job's tasks that wait, in milli-cores times ms. */
 export const queuedWork = ({ queue, need, expectedMs }: Pick<JobView, 'queue' | 'need' | 'expectedMs'>): number =>
   queue.length * need.cpuMilli * expectedMs
 
-/** What more urgent arrivals leave to a priority. */
+/** What remains for a priority after the work of more urgent arrivals. */
 const remainingMilli = (servedMilli: number, priority: number, queues: readonly QueueShare[]): number =>
   queues.reduce((remaining, queue) => queue.priority < priority ? remaining - queue.admittedMilli : remaining, servedMilli)
 
 /**
- * Time until a job's first task can start: all that goes before it is served by
- * then, by what more urgent arrivals leave, or, if its queue is below its floor,
- * what goes before it in its own queue, by the floor; whichever comes sooner.
+ * Time until a job's first task can start. By then all the work ahead of it has
+ * been served with what remains after more urgent arrivals. If its queue is below
+ * its floor, it may start sooner: once the work ahead in its own queue has been
+ * served at the rate of the floor.
  *
- * @param ahead - what goes before it
- * @param priority - the job's
- * @param load - what the entry serves
+ * @param ahead - work that goes before the job
+ * @param priority - the job's priority
+ * @param load - load of the entry
  * @returns in ms
  */
 export const forecastWait = (ahead: WorkAhead, priority: number, { servedMilli, queues }: LoadView): number => {
--- a/packages/decisions/src/handOn.ts
+++ b/packages/decisions/src/handOn.ts
@@ -1,122 +1,131 @@
 /**
- * Whether a job goes to another entry, and to which.
+ * Decides whether a job is handed on (forwarded to another entry that hosts it),
+ * and to which entry.
  *
- * Load: an entry on a weak processor, or with more callers than its part of the
- * endpoints can serve, beside entries with room. It is late with what it knows
- * of room and sends to room that is gone, which makes it later still; its
- * callers wait, or are refused, while others' endpoints are idle.
+ * An entry on a weak processor, or with more callers than its share of the
+ * endpoints can serve, may be next to entries with free capacity. An overloaded
+ * entry knows of free capacity too late and sends starts for capacity that is
+ * gone, which loads it further: its callers wait or are refused while other
+ * entries' endpoints are idle.
  *
- * Bounds: a share of arrivals and a number of jobs outstanding. Entries don't
- * pass work to and fro: an entry that runs short itself takes none, and a job
- * that was handed on is never handed on again.
+ * Limits bound the share of arrivals that is handed on and the number of jobs
+ * handed on at a time. Jobs do not bounce between entries: an overloaded entry
+ * accepts none, and a job that was handed on is never handed on again.
  */
 
-/** What an entry observes of itself. */
+/** Load that an entry observes of itself. */
 export interface EntryLoadView {
-  /** How late its event loop is, in ms, smoothed. */
+  /** Smoothed delay of its event loop, in ms. */
   readonly lagMs: number
-  /** How long a job of the least priority that waits here will wait, in ms. */
+  /** How long a job of the lowest priority waiting there will wait, in ms. */
   readonly waitMs: number
 }
 
-/** The same of an entry that may hand work on. */
+/** Load of the origin entry: the one that took the job from its caller and may hand it on. */
 export interface OriginView extends EntryLoadView {
-  /** Part of its starts that came back lately, as the room it knew of was gone; from 0 to 1. */
+  /** Share of its recent starts that were returned because the capacity was gone, from 0 to 1. */
   readonly returnedShare: number
 }
 
-/** What a neighbour told of itself. */
+/** Another entry to which jobs may be handed on, according to its last load report. */
 export interface NeighbourView {
   readonly zone: string
-  /** When its news was read; on the clock of `now`. */
+  /** When the report was received, in ms on the clock of `HandOnView.now`. */
   readonly receivedAt: number
-  /** It answers, and its news tells of the job's service. */
+  /** The stream to it is open, and its report covers the job's service. */
   readonly isOpen: boolean
   readonly isStopping: boolean
+  /** As in `EntryLoadView`. */
   readonly lagMs: number
+  /** Forecast wait for the job's service, in ms. */
   readonly waitMs: number
-  /** Its part of the free room, in thousandths of a core. */
+  /** Its share of the free capacity, in thousandths of a core. */
   readonly freeMilli: number
-  /** What was handed to it since its news, in thousandths of a core. */
+  /** Work handed to it that its report may not include yet, in thousandths of a core. */
   readonly unreportedMilli: number
 }
 
-/** What the decision rests on. */
+/** State of the origin entry and its neighbours when a job arrives. */
 export interface HandOnView<Neighbour extends NeighbourView> {
+  /** In ms. */
   readonly now: number
+  /** Availability zone of the origin entry. */
   readonly zone: string
-  /** The entry needs help, by `needsHelp`. */
+  /** True if the origin entry has needed help, by `needsHelp`, for more than a moment. */
   readonly isOverloaded: boolean
   readonly own: OriginView
   readonly neighbours: readonly Neighbour[]
-  /** Jobs handed on and not ended. */
+  /** Jobs that are handed on and have not ended. */
   readonly outstanding: number
-  /** Part of the arrivals of the last moments that was handed on, from 0 to 1. */
+  /** Share of recent arrivals that was handed on, from 0 to 1. */
   readonly share: number
 }
 
-/** Bounds that an operator may set. */
+/** Limits that an operator may set. */
 export interface HandOnLimits {
+  /** Jobs handed on at a time. */
   readonly maxOutstanding: number
-  /** From 0, which hands nothing on, to 1. */
+  /** Share of arrivals that may be handed on, from 0 (none) to 1. */
   readonly maxShare: number
 }
 
-/** Why a job stays. */
+/** Why a job is not handed on. */
 export const KEEP_REASONS = {
   notOverloaded: 'not_short',
   outstanding: 'outstanding',
   share: 'share',
-  /** Nobody's news is young enough. */
+  /** No neighbour's load report is recent enough. */
   noReport: 'no_news',
-  /** Nobody has enough room more, or is that much less late. */
+  /** No neighbour has enough free capacity and is faster by more than the cost of handing on. */
   noGain: 'no_gain'
 } as const
 export type KeepReason = typeof KEEP_REASONS[keyof typeof KEEP_REASONS]
 
-/** Where a job goes. */
+/** Whether a job is kept or handed on; `gainMs` is the response time expected to be saved. */
 export type HandOnDecision<Neighbour> =
   | { type: 'keep', reason: KeepReason }
   | { type: 'hand_on', to: Neighbour, gainMs: number }
 
-/** News that is older says nothing: room fills in that time. */
+/** Older load reports are ignored: free capacity is used up in that time. */
 export const MAX_REPORT_AGE_MS = 200
-/** A loop so late runs short; below the second figure it does no more, so that it does not come and go. */
+/** An entry becomes overloaded above the first figure and stays so down to the second, so that the state does not flap. */
 const OVERLOAD_ENTER_LAG_MS = 8
 const OVERLOAD_EXIT_LAG_MS = 4
-/** The same for a job's wait. */
+/** The same for the wait of its jobs. */
 const OVERLOAD_ENTER_WAIT_MS = 30
 const OVERLOAD_EXIT_WAIT_MS = 5
-/** A late entry whose starts come back sends them to room that is gone; so many of them. */
+/** A late entry with more returned starts than this sends starts for capacity that is gone; the second figure ends the state. */
 const ENTER_RETURNED_SHARE = 0.08
 const EXIT_RETURNED_SHARE = 0.03
 /**
- * A loop so late has too little processor for its callers, whatever becomes of
- * its starts. Below it nothing is gained by lateness alone: request and answer
- * pass the same loop either way.
+ * Above this lag an entry has too little processor time for its callers, even if
+ * no starts are returned. Below it, handing on gains nothing from the lag alone,
+ * as request and answer pass the same event loop either way. The second figure
+ * ends the state.
  */
 const SATURATION_ENTER_LAG_MS = 30
 const SATURATION_EXIT_LAG_MS = 20
-/** Two ways between entries and what they cost both, within a zone and between zones. */
+/** Cost of two trips between entries, including the work at both ends, within a zone and between zones. */
 const SAME_ZONE_COST_MS = 6
 const CROSS_ZONE_COST_MS = 12
-/** Room that a neighbour keeps for its own callers, in needs of the whole job. */
+/** A neighbour must have this many times the job's need free, to keep capacity for its own callers. */
 const FREE_CAPACITY_FACTOR = 2
 
 /**
- * Whether an entry runs short of time or room.
+ * True if an entry is short of processor time or capacity.
  *
- * @param own - what it observes
- * @param wasOverloaded - what was said last: it takes less to remain short than to get so
+ * @param load - the entry's load
+ * @param wasOverloaded - the previous result: the state ends at lower values than it begins
  */
 export const isOverloaded = ({ lagMs, waitMs }: EntryLoadView, wasOverloaded: boolean): boolean =>
   wasOverloaded ? lagMs > OVERLOAD_EXIT_LAG_MS || waitMs > OVERLOAD_EXIT_WAIT_MS : lagMs > OVERLOAD_ENTER_LAG_MS || waitMs > OVERLOAD_ENTER_WAIT_MS
 
 /**
- * Whether an entry should hand work on.
+ * True if an entry should hand jobs on. Unlike `isOverloaded`, a lag below
+ * saturation counts only if starts are returned.
  *
- * @param own - what it observes
- * @param neededHelp - what was said last
+ * @param own - the entry's load
+ * @param neededHelp - the previous result: the state ends at lower values than it begins
  */
 export const needsHelp = ({ lagMs, waitMs, returnedShare }: OriginView, neededHelp: boolean): boolean => {
   if (waitMs > (neededHelp ? OVERLOAD_EXIT_WAIT_MS : OVERLOAD_ENTER_WAIT_MS)) return true
@@ -124,32 +133,36 @@
   return lagMs > (neededHelp ? OVERLOAD_EXIT_LAG_MS : OVERLOAD_ENTER_LAG_MS) && returnedShare > (neededHelp ? EXIT_RETURNED_SHARE : ENTER_RETURNED_SHARE)
 }
 
-/** What a job is spared at its own entry: the wait, another pass of the loop each way if any of its starts comes back, and what a saturated loop adds. */
+/**
+ * Time that a job saves by leaving the origin entry: the wait, another pass of the
+ * event loop each way if any of its starts is returned, and the lag beyond
+ * saturation.
+ */
 const savedMs = ({ lagMs, waitMs, returnedShare }: OriginView, count: number): number =>
   waitMs + 2 * lagMs * (1 - (1 - returnedShare) ** count) + Math.max(0, lagMs - SATURATION_ENTER_LAG_MS)
 
-/** What it meets at the other one: offer and end pass its loop. */
+/** Time that a job loses at the neighbour: its wait, its event loop for offer and end, and the trips. */
 const addedMs = ({ lagMs, waitMs, zone }: NeighbourView, ownZone: string): number =>
   2 * lagMs + waitMs + (zone === ownZone ? SAME_ZONE_COST_MS : CROSS_ZONE_COST_MS)
 
-/** The job, as far as the decision goes. */
+/** A job that may be handed on. */
 export interface HandOnJob {
-  /** Its tasks. */
+  /** Number of its tasks. */
   readonly count: number
-  /** What all of them use, in thousandths of a core. */
+  /** Need of all its tasks together, in thousandths of a core. */
   readonly needMilli: number
 }
 
-const isFresh = ({ isOpen, isStopping, receivedAt: toldAt }: NeighbourView, now: number): boolean =>
-  isOpen && !isStopping && now - toldAt <= MAX_REPORT_AGE_MS
+const isUsable = ({ isOpen, isStopping, receivedAt }: NeighbourView, now: number): boolean =>
+  isOpen && !isStopping && now - receivedAt <= MAX_REPORT_AGE_MS
 
 /**
- * Hands a job on if the entry runs short, to the neighbour that gains most; to
- * one of the same zone where that is about as good.
+ * Hands a job on if the entry is overloaded, to the neighbour that saves most
+ * time. The cost of crossing zones favours neighbours of the same zone.
  *
- * @param job - one that has just arrived
+ * @param job - a job that has just arrived
  * @param view - the entry and its neighbours
- * @param limits - bounds
+ * @param limits - set by the operator
  */
 export const handOn = <Neighbour extends NeighbourView>(
   { count, needMilli }: HandOnJob, view: HandOnView<Neighbour>, { maxOutstanding, maxShare }: HandOnLimits
@@ -157,10 +170,10 @@
   if (!view.isOverloaded) return { type: 'keep', reason: KEEP_REASONS.notOverloaded }
   if (view.outstanding >= maxOutstanding) return { type: 'keep', reason: KEEP_REASONS.outstanding }
   if (view.share >= maxShare) return { type: 'keep', reason: KEEP_REASONS.share }
-  const fresh = view.neighbours.filter((neighbour) => isFresh(neighbour, view.now))
-  if (fresh.length === 0) return { type: 'keep', reason: KEEP_REASONS.noReport }
+  const usable = view.neighbours.filter((neighbour) => isUsable(neighbour, view.now))
+  if (usable.length === 0) return { type: 'keep', reason: KEEP_REASONS.noReport }
   let best: { to: Neighbour, gainMs: number } | undefined
-  for (const to of fresh) {
+  for (const to of usable) {
     if (to.freeMilli - to.unreportedMilli < FREE_CAPACITY_FACTOR * needMilli || isOverloaded(to, false)) continue
     const gainMs = savedMs(view.own, count) - addedMs(to, view.zone)
     if (gainMs > (best?.gainMs ?? 0)) best = { to, gainMs }
@@ -168,26 +181,27 @@
   return best === undefined ? { type: 'keep', reason: KEEP_REASONS.noGain } : { type: 'hand_on', ...best }
 }
 
-/** What an entry knows when another one hands it a job. */
+/** State of an entry to which another one hands a job. */
 export interface HostView {
   readonly own: EntryLoadView
   readonly isStopping: boolean
-  /** Jobs of other entries that it has. */
+  /** Jobs of other entries that it hosts. */
   readonly hosted: number
-  /** When the caller's entry was surely alive, on the clock of `now`. */
+  /** Latest time at which the origin entry is known to have been alive, in ms on the clock of `now`. */
   readonly aliveAt: number
+  /** In ms. */
   readonly now: number
 }
 
-/** Jobs of others that an entry takes on at once. */
+/** Jobs of other entries that an entry hosts at a time. */
 export const MAX_HOSTED = 128
-/** An offer of an entry that has not been heard of for longer was held up; its start would find little authority left. */
+/** If the origin entry was last known alive longer ago, its offer was delayed; little of the entry lease would remain for the job's starts. */
 export const MAX_OFFER_AGE_MS = 150
 
-/** Why an entry takes no job of another one. */
+/** Why an entry refuses to host another entry's job; part of the answer to the offer. */
 export type HostRefusal = 'stopping' | 'short' | 'hosted' | 'stale'
 
-/** Whether an entry takes another one's job on; admission follows. */
+/** Finds out why an entry must not host another entry's job; undefined if it may. Admission follows. */
 export const findHostRefusal = ({ own, isStopping, hosted, aliveAt, now }: HostView): HostRefusal | undefined => {
   if (isStopping) return 'stopping'
   if (now - aliveAt > MAX_OFFER_AGE_MS) return 'stale'
--- a/packages/decisions/src/moveRun.ts
+++ b/packages/decisions/src/moveRun.ts
@@ -1,40 +1,43 @@
 /**
- * Which runs are stopped to run elsewhere.
+ * Straggler mitigation: decides which runs are stopped to be run elsewhere.
  *
- * Load: an endpoint turns slow or hangs while others have room. A job's answer
- * waits for its last task. Moving costs a stop and all that was done, so a run
- * that is long by itself must stay.
+ * An endpoint may become slow or hang while others have free capacity, and a
+ * job's answer waits for its last task. A move costs a stop and loses the work
+ * done, so a run that merely takes long must not be moved.
  */
 
 /** A run in progress. */
 export interface RunView {
   /** Time since its start was sent, in ms. */
   readonly elapsedMs: number
-  /** Run time to expect of one task of the job, in ms. */
+  /** Expected run time of one task of the job, in ms. */
   readonly expectedMs: number
-  /** Longest run of the job's tasks that ended, in ms. */
+  /** Longest run among the job's tasks that ended, in ms. */
   readonly longestRunMs: number
   /** Usual run time of tasks of its kind, in ms. */
   readonly usualMs: number
-  /** Run times at its endpoint against the expected ones; 1 is as expected. */
+  /** Run times at its endpoint, as a multiple of the expected ones. */
   readonly slowness: number
 }
 
-/** At an endpoint whose other runs are slow, too, a run this many times longer than usual is moved, if another has room. */
+/** At a slow endpoint, a run that takes this many times longer than usual is moved. */
 const SLOW_ENDPOINT_FACTOR = 2
-/** Elsewhere the job itself is likely to be long. */
+/** The same at other endpoints, where a long run is more likely to be due to the job itself. */
 const NORMAL_ENDPOINT_FACTOR = 4
-/** An endpoint this much slower than expected is suspect. */
+/** An endpoint counts as slow from this slowness on. */
 const SLOW_ENDPOINT_SLOWNESS = 1.5
-/** Runs that are only this much longer than expected are not moved: moving costs a stop and a new start. */
+/** A run is not moved before it exceeds the usual time by this: a move costs a stop and a new start. */
 const MIN_EXCESS_MS = 150
 
-/** True if the run should go elsewhere, if there is room. */
+/** True if the run should be moved, provided that there is free capacity elsewhere. */
 export type MoveRun = (run: RunView) => boolean
 
-/** Moves runs that take far longer than others of their kind. Callers' guesses are often several times too short. */
-export const moveRun: MoveRun = ({ elapsedMs: ranMs, expectedMs, longestRunMs, usualMs, slowness }) => {
+/**
+ * Moves a run that takes far longer than others of its kind. The expected time
+ * alone is no measure, as callers' estimates are often several times too short.
+ */
+export const moveRun: MoveRun = ({ elapsedMs, expectedMs, longestRunMs, usualMs, slowness }) => {
   const longMs = Math.max(expectedMs, longestRunMs, usualMs)
   const factor = slowness >= SLOW_ENDPOINT_SLOWNESS ? SLOW_ENDPOINT_FACTOR : NORMAL_ENDPOINT_FACTOR
-  return ranMs >= Math.max(factor * longMs, longMs + MIN_EXCESS_MS)
+  return elapsedMs >= Math.max(factor * longMs, longMs + MIN_EXCESS_MS)
 }
--- a/packages/decisions/src/offerCapacity.ts
+++ b/packages/decisions/src/offerCapacity.ts
@@ -1,48 +1,49 @@
 /**
- * Which entry is told of scarce room at an endpoint.
+ * Decides which entry is offered scarce free capacity at an endpoint.
  *
- * Load: all endpoints nearly full, and tasks wait at several entries. Offered to
- * all of them at once, scarce room would be sent for several times, and all but
- * the first start would have waited in vain: two of three starts did.
+ * When all endpoints are nearly full, tasks wait at several entries. If scarce
+ * capacity were offered to all of them at once, each would send a start for it
+ * and only the first would succeed: two of three starts would be rejected.
  */
 import type { Resources } from './types.js'
 
-/** An entry with tasks that wait for room. */
+/** An entry with tasks that wait for capacity. */
 export interface EntryDemand {
   readonly incarnation: string
-  /** Of the first task that waits; 0 goes first. */
+  /** Priority of its first waiting task; 0 is the most urgent. */
   readonly priority: number
-  /** Rises with each time that an entry was served here; 0 for never. */
+  /** Increases each time an entry is served at this endpoint; 0 if this entry never was. */
   readonly servedAt: number
 }
 
-/** Whose turn it is. */
+/** The latest offer of scarce capacity at an endpoint. */
 export interface CurrentOffer {
+  /** Incarnation of the entry that has the offer; undefined if none has. */
   readonly holder: string | undefined
-  /** When the room was offered to it, in ms. */
+  /** When the offer was made, in ms. */
   readonly offeredAt: number
 }
 
-/** How long free room is kept for the entry that was offered it: a round trip between zones, and some. */
+/** How long free capacity is reserved for the entry that it was offered to: a round trip between zones, with a margin. */
 export const CAPACITY_OFFER_MS = 12
-/** Below this share of the capacity, free room is offered to one entry at a time. */
+/** Below this share of an endpoint's capacity, free capacity is offered to one entry at a time. */
 const SCARCE_SHARE = 0.25
 
-/** True if so little of an endpoint's room is free that entries would send for it several times. */
+/** True if so little is free at an endpoint that several entries would send starts for the same capacity. */
 export const isScarce = (free: Resources, capacity: Resources): boolean =>
   free.cpuMilli < capacity.cpuMilli * SCARCE_SHARE
 
-/** Chooses the entry that free room is offered to. */
-export type OfferCapacity = (wanting: readonly EntryDemand[], turn: CurrentOffer, now: number) => string | undefined
+/** Chooses the entry to which free capacity is offered. */
+export type OfferCapacity = (demands: readonly EntryDemand[], current: CurrentOffer, now: number) => string | undefined
 
 /**
- * The entry whose turn it is keeps it for a moment; then by priority, then who
- * was served longest ago.
+ * Keeps the current offer for `CAPACITY_OFFER_MS`, as long as its holder has
+ * demand; then chooses by priority, and among equals the entry served longest ago.
  *
  * @param demands - entries with tasks that wait
- * @param turn - whose turn it was
- * @param now - in ms, on the clock of the turn
- * @returns the incarnation of an entry, or nothing if none wants room
+ * @param current - the latest offer
+ * @param now - in ms, on the clock of the offer
+ * @returns the incarnation of an entry, or undefined if no entry has demand
  */
 export const offerCapacity: OfferCapacity = (demands, { holder, offeredAt }, now) => {
   const isStillOffered = now - offeredAt < CAPACITY_OFFER_MS && demands.some(({ incarnation }) => incarnation === holder)
--- a/packages/decisions/src/orderJobs.ts
+++ b/packages/decisions/src/orderJobs.ts
@@ -1,12 +1,12 @@
 /**
- * The order in which waiting jobs go.
+ * Decides the order in which waiting jobs are started.
  *
- * Load: more work arrives than the endpoints can do for some seconds. Whatever
- * goes first then decides who is in time; a job that can no longer be in time
- * would take the place of one that can.
+ * When more work arrives than the endpoints can do for some seconds, the order
+ * decides which jobs are in time. A job that can no longer be in time would take
+ * capacity from one that can.
  *
- * Bounds: without overload the lowest priority waits as long as higher ones fill
- * the endpoints; under overload until it is below its floor.
+ * Without overload, the lowest priority may wait as long as higher ones fill the
+ * endpoints; under overload it waits until its queue is below its floor.
  */
 import { UNKNOWN_LOAD } from './forecast.js'
 import type { LoadView } from './forecast.js'
@@ -14,10 +14,10 @@
 import type { JobView } from './types.js'
 
 /**
- * Time to allow for a job against the expected run of one task: its last task
- * may run at a slow endpoint, or be a long one. Without it, jobs started at the
- * last moment were late by a little, each at the price of the next: half of the
- * late ones in a burst by less than a quarter.
+ * Multiple of the expected run of one task that is allowed for a job, as its last
+ * task may be long or run at a slow endpoint. Without the allowance, jobs that
+ * start at the last moment end a little late, each at the cost of the next one:
+ * half of the late jobs of a burst are late by less than a quarter.
  */
 const RUN_ALLOWANCE = 1.25
 
@@ -25,27 +25,27 @@
 export const latestStart = ({ dueAt, expectedMs }: Pick<JobView, 'dueAt' | 'expectedMs'>): number =>
   dueAt - RUN_ALLOWANCE * expectedMs
 
-/** True if a job that has not begun cannot be in time any more. */
+/** True if a job that has not begun can no longer be in time. */
 export const isLate = (job: Pick<JobView, 'dueAt' | 'expectedMs' | 'mayHaveRun'>, now: number): boolean =>
   job.mayHaveRun === 0 && latestStart(job) < now
 
-/** Puts waiting jobs into the order in which they go. */
+/** Sorts waiting jobs into the order in which they are started. */
 export type OrderJobs = <Job extends JobView>(jobs: Iterable<Job>, now: number, load?: LoadView) => Job[]
 
 /**
- * Jobs that can still be in time first, or that have begun; then by priority,
- * queues below their floors like the most urgent one; then by how soon they must
- * start.
+ * Puts jobs that have begun or can still be in time before late ones; then sorts
+ * by priority, where a queue below its floor counts like the most urgent one; then
+ * by latest start.
  *
- * @param jobs - those that wait
+ * @param jobs - the jobs that wait
  * @param now - in ms, on the clock of the jobs' times
- * @param load - of their service
- * @returns the first one to go first
+ * @param load - load of their service
+ * @returns the jobs, next one first
  */
 export const orderJobs: OrderJobs = (jobs, now, { queues } = UNKNOWN_LOAD) => {
   const priorityOf = effectivePriority(queues)
   const ranked = [...jobs].map((job) =>
-    ({ job, startBy: latestStart(job), priority: priorityOf(job.priority), group: isLate(job, now) ? 1 : 0 }))
-  ranked.sort((a, b) => a.group - b.group || a.priority - b.priority || a.startBy - b.startBy)
+    ({ job, startBy: latestStart(job), priority: priorityOf(job.priority), lateness: isLate(job, now) ? 1 : 0 }))
+  ranked.sort((a, b) => a.lateness - b.lateness || a.priority - b.priority || a.startBy - b.startBy)
   return ranked.map(({ job }) => job)
 }
--- a/packages/decisions/src/placeTask.ts
+++ b/packages/decisions/src/placeTask.ts
@@ -1,74 +1,77 @@
 /**
- * Where a task goes.
+ * Decides which agent a task is sent to.
  *
- * Load: endpoints of unequal speed and fill, and several entries that send to
- * the same ones without asking each other. If all entries take the first with
- * room they fill the same one: with ten entries at 62 agents, three starts in
- * ten found it full.
+ * Endpoints differ in speed and load, and several entries send to the same ones
+ * without coordination. If every entry takes the first agent with free capacity,
+ * all of them fill the same one: with ten entries and 62 agents, three of ten
+ * starts find it full.
  */
 import { CAPACITY_OFFER_MS } from './offerCapacity.js'
 import { fits } from './types.js'
 import type { JobView, Resources } from './types.js'
 
-/** An agent as the choice sees it. */
+/** An agent as a candidate for a task. */
 export interface PlaceView {
   readonly zone: string
-  /** What it told to be free, less what was sent since. */
+  /** Free capacity that the agent reported, less what was sent to it since. */
   readonly freeCapacity: Readonly<Resources>
-  /** When its last frame was read. */
+  /** When its last frame was received, in ms. */
   readonly receivedAt: number
-  /** Run times at its endpoint against the expected ones; 1 is as expected. */
+  /** Run times at its endpoint, as a multiple of the expected ones. */
   readonly slowness: number
 }
 
-/** What a choice rests on besides the agents. */
-export interface PlaceContext<Place> {
+/** Conditions of a placement, besides the agents and the job. */
+export interface PlaceContext<Agent> {
+  /** In ms, on the clock of the agents' and the job's times. */
   readonly now: number
   /** The entry's availability zone. */
   readonly zone: string
-  /** Numbers in [0, 1). */
+  /** Returns random numbers in [0, 1). */
   readonly random: () => number
-  /** False for endpoints that are set aside. */
-  readonly maySend: (place: Place) => boolean
+  /** False for agents that must not get a start now, such as those whose endpoint is ejected. */
+  readonly maySend: (agent: Agent) => boolean
   /** True if a run of this task has failed there, or was too slow. */
-  readonly isAvoided: (place: Place) => boolean
-  /** Taken if it is among the best and will have room left, as starts that travel together cost one message. */
-  readonly preferred?: Place | undefined
+  readonly isAvoided: (agent: Agent) => boolean
+  /** Chosen if it is among the best and not nearly full, as starts that are sent together cost one message. */
+  readonly preferred?: Agent | undefined
 }
 
-/** Chooses among the agents of a job's service that take work; nothing if the task should wait. */
+/** Chooses one of the agents of a job's service that accept work; undefined if the task should wait. */
 export type PlaceTask = <Agent extends PlaceView>(agents: Iterable<Agent>, job: JobView, context: PlaceContext<Agent>) => Agent | undefined
 
-/** An agent that was silent for longer gets no start: it may be lost. A few keep-alives long. */
+/** An agent that has been silent for longer, which is a few keep-alive intervals, may be lost and gets no start. */
 const MAX_SILENCE_MS = 400
 /** Crossing zones costs a round trip of about a millisecond. */
 const CROSS_ZONE_PENALTY_MS = 1
-/** Below this, differences of observed speed are noise. */
+/** Smaller differences in observed speed are noise. */
 const MIN_NOTABLE_SLOWNESS = 1.1
-/** An endpoint that is so much slower than expected has a fault. */
+/** An endpoint that is slower than this is considered faulty. */
 const FAULTY_SLOWNESS = 2
-/** The last place at an agent is often taken by another entry's start meanwhile, which costs a wait and another way. */
+/** The last slot at an agent is often taken by another entry's start meanwhile, which costs a wait and another trip. */
 const LAST_SLOT_PENALTY_MS = 6
-/** Places whose times differ by less are alike. */
+/** Agents whose costs differ by less are considered equal. */
 const TIE_MS = 0.5
 
-const isLastSlot = ({ freeCapacity: room }: PlaceView, { need }: JobView): boolean =>
-  room.cpuMilli < 2 * need.cpuMilli || room.memoryMb < 2 * need.memoryMb
+/** True if no second such task fits. */
+const isLastSlot = ({ freeCapacity }: PlaceView, { need }: JobView): boolean =>
+  freeCapacity.cpuMilli < 2 * need.cpuMilli || freeCapacity.memoryMb < 2 * need.memoryMb
 
-/** How long the task would take there, with what it costs to get there; unset if it cannot go there. */
+/** Expected run time of the task at the agent plus penalties, in ms; undefined if it must not be sent there. */
 const costMs = <Agent extends PlaceView>(agent: Agent, job: JobView, { now, zone, maySend, isAvoided }: PlaceContext<Agent>): number | undefined => {
-  // First what most agents fail over capacity.
+  // Checked first, as most agents fail it under overload.
   if (!fits(job.need, agent.freeCapacity)) return undefined
-  const lastSlot = isLastSlot(agent, job)
-  // A last place is offered to one entry at a time, for a moment.
-  if (now - agent.receivedAt > (lastSlot ? CAPACITY_OFFER_MS : MAX_SILENCE_MS) || !maySend(agent)) return undefined
+  const isLast = isLastSlot(agent, job)
+  // Scarce capacity is offered to one entry at a time, for CAPACITY_OFFER_MS.
+  if (now - agent.receivedAt > (isLast ? CAPACITY_OFFER_MS : MAX_SILENCE_MS) || !maySend(agent)) return undefined
   const runMs = job.expectedMs * (agent.slowness < MIN_NOTABLE_SLOWNESS ? 1 : agent.slowness)
-  // Waiting for another endpoint is better than a place where the answer comes too late.
+  // It is better to wait for another endpoint than to get an answer that is of no use.
   if (agent.slowness > FAULTY_SLOWNESS && now + runMs > job.expiresAt) return undefined
   const retryMs = isAvoided(agent) ? job.expectedMs : 0
-  return runMs + retryMs + (agent.zone === zone ? 0 : CROSS_ZONE_PENALTY_MS) + (lastSlot ? LAST_SLOT_PENALTY_MS : 0)
+  return runMs + retryMs + (agent.zone === zone ? 0 : CROSS_ZONE_PENALTY_MS) + (isLast ? LAST_SLOT_PENALTY_MS : 0)
 }
 
+/** Draws two agents at random and takes the one with more free capacity (power of two choices). */
 const freerOfTwo = <Agent extends PlaceView>(agents: Agent[], random: () => number): Agent | undefined => {
   const draw = (): Agent | undefined => agents[Math.floor(random() * agents.length)]
   const [one, other] = [draw(), draw()]
@@ -77,12 +80,12 @@
 }
 
 /**
- * The agent where the task would end soonest, among those with room; where
- * several are alike, the one with more room of two drawn at random.
+ * Chooses the agent where the task would end soonest; of several that are equal,
+ * the one with more free capacity of two drawn at random.
  *
- * @param agents - those of the job's service that take work
- * @param job - whose task it is
- * @param context - what the choice rests on besides
+ * @param agents - the agents of the job's service that accept work
+ * @param job - the task's job
+ * @param context - conditions of the placement
  */
 export const placeTask: PlaceTask = <Agent extends PlaceView>(agents: Iterable<Agent>, job: JobView, context: PlaceContext<Agent>) => {
   let tied: Agent[] = []
@@ -94,7 +97,7 @@
     bestMs = Math.min(bestMs, ms)
     tied.push(agent)
   }
-  const { preferred: near, random } = context
-  if (near !== undefined && tied.includes(near) && !isLastSlot(near, job)) return near
+  const { preferred, random } = context
+  if (preferred !== undefined && tied.includes(preferred) && !isLastSlot(preferred, job)) return preferred
   return freerOfTwo(tied, random)
 }
--- a/packages/decisions/src/policy.ts
+++ b/packages/decisions/src/policy.ts
@@ -1,7 +1,8 @@
+/** The product's policy, and a baseline policy to compare it with. */
 import { admit } from './admit.js'
 import type { Admit } from './admit.js'
-import { shed } from './shed.js'
-import type { Shed } from './shed.js'
+import { eject } from './eject.js'
+import type { Eject } from './eject.js'
 import { moveRun } from './moveRun.js'
 import type { MoveRun } from './moveRun.js'
 import { offerCapacity } from './offerCapacity.js'
@@ -12,13 +13,13 @@
 import type { PlaceTask } from './placeTask.js'
 import { retryAfter } from './retryAfter.js'
 import type { RetryAfter } from './retryAfter.js'
-import { eject } from './eject.js'
-import type { Eject } from './eject.js'
 import { computeShares } from './shares.js'
 import type { ComputeShares } from './shares.js'
+import { shed } from './shed.js'
+import type { Shed } from './shed.js'
 import { fits } from './types.js'
 
-/** All decisions, each a function that may be replaced by itself. */
+/** The replaceable decisions. Their keys are part of the names of the lab's variants (`plain-KEY`). */
 export interface Policy {
   admit: Admit
   order: OrderJobs
@@ -31,8 +32,18 @@
   shares: ComputeShares
 }
 
-/** What the programs use. */
-export const POLICY: Policy = { admit, order: orderJobs, place: placeTask, offer: offerCapacity, move: moveRun, giveUp: shed, retryAfter, setAside: eject, shares: computeShares }
+/** The policy that entries and agents use. */
+export const POLICY: Policy = {
+  admit,
+  order: orderJobs,
+  place: placeTask,
+  offer: offerCapacity,
+  move: moveRun,
+  giveUp: shed,
+  retryAfter,
+  setAside: eject,
+  shares: computeShares
+}
 
 const admitAll: Admit = (_job, { capacityMilli }) => capacityMilli === 0 ? { type: 'no_capacity' } : { type: 'taken' }
 const noFloors: ComputeShares = (_servedMilli, queues) => queues.map((queue) => ({ ...queue, floorMilli: 0 }))
@@ -43,14 +54,14 @@
 }
 
 /**
- * The plain way to decide each question, to measure the policy against: each of
- * its functions takes the place of its namesake, alone or with others.
+ * The simplest form of each decision: the baseline that `POLICY` is measured against.
+ * Each decision can replace the one of the same key in `POLICY`, alone or with others.
  */
 export const PLAIN_POLICY: Policy = {
   admit: admitAll,
   order: firstComeFirstServed,
   place: firstFittingAgent,
-  offer: (wanting) => wanting[0]?.incarnation,
+  offer: (demands) => demands[0]?.incarnation,
   move: () => false,
   giveUp: (job, now) => job.mayHaveRun === 0 && now > job.expiresAt,
   retryAfter,
--- a/packages/decisions/src/retryAfter.ts
+++ b/packages/decisions/src/retryAfter.ts
@@ -1,15 +1,15 @@
 /**
- * When a caller that was refused should come again.
+ * Decides when a refused caller should retry.
  *
- * Load: a burst over capacity; callers that come again at once meet the same
- * queue, and cost an entry as much as those that can be served.
+ * In a burst over capacity, a caller that retries at once finds the same queue,
+ * and costs the entry as much as a caller that can be served.
  */
 
-/** A burst lasts for some seconds; a second is the shortest wait that the header can express. */
+/** A burst lasts for some seconds, and a second is the shortest delay that the Retry-After header can express. */
 const RETRY_AFTER_MS = 1000
 
-/** How long a refused caller should wait, in ms. */
+/** How long a refused caller should wait before it retries, in ms. */
 export type RetryAfter = () => number
 
-/** The same for all refusals. */
+/** Returns the same delay for every refusal. */
 export const retryAfter: RetryAfter = () => RETRY_AFTER_MS
--- a/packages/decisions/src/shares.ts
+++ b/packages/decisions/src/shares.ts
@@ -1,57 +1,60 @@
 /**
- * What each queue keeps when several compete for too little room. The jobs of
- * one priority at one service are a queue.
+ * Fair shares under overload: how much of an entry's capacity is guaranteed to
+ * each queue. The jobs of one priority at one service form a queue.
  *
- * Load: more work arrives than the endpoints can do, and one priority brings
- * much of it. By priority alone the last one would pay for all: its callers are
- * turned away while the others lose nothing.
+ * When more work arrives than the endpoints can do, and much of it has one
+ * priority, scheduling by priority alone would refuse the callers of the lowest
+ * priority while the others lose nothing.
  *
- * Priority says who goes first. Under overload each queue that asks keeps most
- * of what it would get if all were served the same fraction of what they ask; the
- * rest goes by priority. A queue of which more was refused goes like the most
- * urgent one until it has its part. What a queue does not use is lent: nothing
- * waits for a queue that has no job to start. Asking for more than needed lowers
- * the fraction for everybody, the one who asks included, and parts are of work
- * and not of jobs, so that nobody gains by splitting jobs.
+ * Under overload each queue with arrivals therefore has a floor: most of what it
+ * would get if the same fraction of every queue's work were served. The rest is
+ * assigned by priority. A queue that has more work refused than its floor allows
+ * is scheduled like the most urgent one until it has caught up. Capacity that a
+ * queue does not use is available to the others: none is reserved for a queue
+ * that has no job to start. If callers submit more than they need, the fraction
+ * falls for everybody, themselves included; and floors count work rather than
+ * jobs, so that splitting jobs gains nothing.
  *
- * Each entry applies this to what it observes itself; no message carries it.
+ * Each entry applies this to its own observations; no message carries floors.
  */
 
-/** A queue at an entry lately, in milli-cores: work of a thousandth of a core a ms. */
+/** Recent load of a queue at an entry. Rates are in milli-cores: work per ms that occupies a thousandth of a core. */
 export interface QueueLoad {
-  /** 0 goes first. */
+  /** 0 is the most urgent. */
   readonly priority: number
-  /** All that arrived, whether it was taken on or not. */
+  /** Work that arrived, admitted or not. */
   readonly arrivedMilli: number
-  /** What was taken on. */
+  /** Work that was admitted. */
   readonly admittedMilli: number
-  /** What was started. */
+  /** Work that was started. */
   readonly startedMilli: number
-  /** What was refused. */
+  /** Work that was refused, on arrival or after a wait. */
   readonly refusedMilli: number
 }
 
-/** A queue with what is kept for it. */
+/** A queue's load with its floor. */
 export interface QueueShare extends QueueLoad {
-  /** Its jobs that can be in time go first while it gets less; 0 without overload. */
+  /** Guaranteed rate: while the queue gets less, those of its jobs that can be in time go first. 0 without overload. */
   readonly floorMilli: number
 }
 
-/** Works out what is kept for each queue of a service, of what an entry serves of it. */
+/** Computes the floors of a service's queues, given the rate at which the entry serves them. */
 export type ComputeShares = (servedMilli: number, queues: readonly QueueLoad[]) => QueueShare[]
 
 /**
- * Part that is kept for each queue of what it would get if all were served the
- * same fraction. With the whole, some queue would be below its floor at all times
- * and priority would say nothing; with much less, the last one pays for all again.
+ * Floor of a queue as a share of what it would get if the same fraction of all
+ * queues' work were served. With 1, some queue would always be below its floor and
+ * priority would have no effect; with much less, the lowest priority bears nearly
+ * all refusals again.
  */
 export const FLOOR_SHARE = 0.95
 
 /**
- * Floors under overload; none while what is asked can be served.
+ * Computes floors under overload; all floors are 0 while everything that arrives
+ * can be served.
  *
- * @param servedMilli - what the entry serves
- * @param queues - those of one service
+ * @param servedMilli - rate at which the entry serves the queues
+ * @param queues - the queues of one service
  */
 export const computeShares: ComputeShares = (servedMilli, queues) => {
   const arrivedMilli = queues.reduce((sum, queue) => sum + queue.arrivedMilli, 0)
@@ -60,12 +63,13 @@
 }
 
 /**
- * True if more of a queue's work was refused lately than what is kept for it
- * allows. Work that waits counts for nothing: it may still be in time.
+ * True if more of a queue's work was refused recently than its floor allows. Work
+ * that waits does not count: it may still be in time.
  */
-export const isBelowFloor = ({ floorMilli, arrivedMilli: askedMilli, startedMilli, refusedMilli }: QueueShare): boolean =>
-  startedMilli * askedMilli < floorMilli * (startedMilli + refusedMilli)
+export const isBelowFloor = ({ floorMilli, arrivedMilli, startedMilli, refusedMilli }: QueueShare): boolean =>
+  startedMilli * arrivedMilli < floorMilli * (startedMilli + refusedMilli)
 
+/** Raises the priority of queues below their floors to `stepsBehind` after the most urgent one. */
 const raisePriorities = (queues: readonly QueueShare[], stepsBehind: number): ((priority: number) => number) => {
   const below = new Set(queues.filter(isBelowFloor).map(({ priority }) => priority))
   const first = Math.min(...queues.map(({ priority }) => priority))
@@ -73,18 +77,20 @@
 }
 
 /**
- * The priorities with which jobs compete at their entry: those of queues below
- * their floors go like the most urgent queue, where who must start sooner goes first.
+ * Maps a job's priority to the one with which it competes at its entry. A queue
+ * below its floor competes like the most urgent one; between equals the earlier
+ * latest start decides.
  *
- * @param queues - those of one service
+ * @param queues - the queues of one service
  */
 export const effectivePriority = (queues: readonly QueueShare[]): ((priority: number) => number) => raisePriorities(queues, 0)
 
 /**
- * The priorities with which entries compete for scarce room at an agent: queues
- * below their floors come right behind the most urgent one. An agent does not know
- * how soon jobs must start; those of the most urgent queue have the least time.
+ * Maps a job's priority to the one with which its entry competes for scarce
+ * capacity at an agent. A queue below its floor comes right after the most urgent
+ * one: an agent does not know the jobs' latest starts, and those of the most
+ * urgent queue have the least time.
  *
- * @param queues - those of one service
+ * @param queues - the queues of one service
  */
 export const demandPriority = (queues: readonly QueueShare[]): ((priority: number) => number) => raisePriorities(queues, 1)
--- a/packages/decisions/src/shed.ts
+++ b/packages/decisions/src/shed.ts
@@ -1,27 +1,27 @@
 /**
- * When a job that found no room is given up.
+ * Load shedding: decides when a waiting job that cannot be done in time is refused.
  *
- * Load: a burst over capacity. Holding on to such jobs to the last moment at
- * which they are of any use delays the answer of their callers, and takes room
- * from jobs that can be in time.
+ * In a burst over capacity, keeping such jobs until their answer would be of no
+ * use delays the reply to their callers, and takes capacity from jobs that can
+ * still be in time.
  */
 import type { JobView } from './types.js'
 
 /**
- * A job that found no room is refused when its answer could only come after this
- * many times the objective: 1% to 4% more answers in time, by kind of job, than
- * with three times, on a day over capacity (1.2, 1.5, 2 and 3 times were played).
+ * A waiting job is refused once its answer could only come after this many times
+ * its objective. With 3 times, 1% to 4% fewer answers, by kind of job, are in
+ * time on a day over capacity.
  */
 const SHED_OBJECTIVE_FACTOR = 1.5
-/** The same after this part of the time that the caller waits: it can still go elsewhere, or come again in time. */
+/** A waiting job is refused after this share of its deadline: its caller can still go elsewhere, or retry in time. */
 const SHED_DEADLINE_SHARE = 0.45
 
-/** What the time of giving up rests on, in ms. */
+/** Times of a job that determine when it is shed, in ms. */
 export interface JobTimes {
   arrivedAt: number
-  /** Response time asked for. */
+  /** Requested response time. */
   objectiveMs: number
-  /** Run time to expect of one task. */
+  /** Expected run time of one task. */
   expectedMs: number
   /** How long the caller waits. */
   deadlineMs: number
@@ -34,15 +34,15 @@
 /**
  * True if the job is to be refused now.
  *
- * @param job - one that waits
- * @param now - in ms, on the clock of its times
- * @param waitMs - how long it will still wait, as forecast
+ * @param job - a job that waits
+ * @param now - in ms, on the clock of the job's times
+ * @param waitMs - forecast of how much longer it will wait
  */
 export type Shed = (job: JobView, now: number, waitMs: number) => boolean
 
 /**
- * Refuses what has not begun and will not begin in time: as soon as the forecast
- * says so, not when the time is over. What has begun is finished, or ends at its
- * deadline.
+ * Refuses a job of which nothing has been started as soon as the forecast says
+ * that it will not start in time. A job that has begun runs on until it ends or
+ * reaches its deadline.
  */
 export const shed: Shed = (job, now, waitMs) => job.mayHaveRun === 0 && now + waitMs > job.shedAt
--- a/packages/decisions/src/suspect.ts
+++ b/packages/decisions/src/suspect.ts
@@ -1,91 +1,95 @@
 /**
- * Which tasks are given up because endpoints crash under them, and where a
- * suspect goes.
+ * Decides whether a task under which endpoints crash is still started, and where.
  *
- * Load: a task crashes each endpoint that starts it, with all that runs beside
- * it, and endpoints crash for other causes, too: one by one, many at a time, or
- * the same place again and again.
+ * A task may crash every endpoint that starts it, along with all that runs beside
+ * it. Endpoints also crash for other causes: one by one, many at a time, or
+ * repeatedly at the same agent.
  */
 import { fits } from './types.js'
 import type { Resources } from './types.js'
 
-/** A life of an endpoint that was lost under a run of a task. */
+/** An endpoint incarnation that was lost while it ran a task. */
 export interface LossView {
-  /** Told apart from every other life of any endpoint. */
+  /** Unique among the incarnations of all endpoints. */
   readonly incarnation: string
-  /** Where it was; another life follows there. */
+  /** The agent whose endpoint it was; later incarnations follow there. */
   readonly agent: string
-  /** False if it only fell silent: it may have gone on. */
+  /** False if it only stopped answering: it may have gone on running. */
   readonly isCrash: boolean
-  /** Other places whose endpoints crashed at about that time, and not under the task's job. */
+  /** Number of other agents whose endpoints crashed at about that time without running a task of the same job. */
   readonly others: number
 }
 
-/** What follows from the lives that were lost under a task. */
+/** What follows from the endpoint incarnations that were lost under a task. */
 export type SuspectVerdict =
   | 'clear'
-  /** It is tried again where a crash would do least harm. */
+  /** The task is retried where a crash would do least harm. */
   | 'suspect'
-  /** It is not started again. */
+  /** The task is not started again. */
   | 'give_up'
 
-/** Crashes at so many places that tell against the task are enough. */
+/** A task is given up after crashes at this many agents that no outage explains. */
 const UNEXPLAINED_AGENT_LIMIT = 2
-/** The bound on starts counts from this crash on: whatever else may have been the cause, unless all were at one place. */
+/** A task is given up after this many crashes of whatever cause, unless all of them were at one agent. */
 const CRASH_LIMIT = 3
-/** The bound leaves two starts after it, so lives that may have crashed, or had one place in common, count up to here. */
+/**
+ * A task is given up after this many lost incarnations, also if some may not have
+ * crashed or all were at one agent: at most two starts may follow the crash that
+ * reaches `CRASH_LIMIT`.
+ */
 const LOSS_LIMIT = CRASH_LIMIT + 2
-/** So many others at the same time: the cause was outside. */
+/** If endpoints of this many other agents crash at about the same time, the cause is an outage and not the task. */
 const OUTAGE_CRASHES = 3
 
-const countOf = (losses: readonly LossView[], keyOf: (loss: LossView) => string): number => new Set(losses.map(keyOf)).size
+const countDistinct = (losses: readonly LossView[], keyOf: (loss: LossView) => string): number => new Set(losses.map(keyOf)).size
 
 /**
- * Judges a task.
+ * Judges a task by the endpoint incarnations that were lost under it.
  *
- * @param losses - lives that were lost under it, in any order; one may be told several times
+ * @param losses - in any order; one incarnation may be reported several times
  */
 export const judgeSuspect = (losses: readonly LossView[]): SuspectVerdict => {
   const crashes = losses.filter(({ isCrash }) => isCrash)
-  const telling = crashes.filter(({ others }) => others < OUTAGE_CRASHES)
-  const isGivenUp = countOf(telling, ({ agent: place }) => place) >= UNEXPLAINED_AGENT_LIMIT ||
-    (countOf(crashes, ({ incarnation: life }) => life) >= CRASH_LIMIT && countOf(crashes, ({ agent: place }) => place) > 1) ||
-    countOf(losses, ({ incarnation: life }) => life) >= LOSS_LIMIT
+  const unexplained = crashes.filter(({ others }) => others < OUTAGE_CRASHES)
+  const isGivenUp = countDistinct(unexplained, ({ agent }) => agent) >= UNEXPLAINED_AGENT_LIMIT ||
+    (countDistinct(crashes, ({ incarnation }) => incarnation) >= CRASH_LIMIT && countDistinct(crashes, ({ agent }) => agent) > 1) ||
+    countDistinct(losses, ({ incarnation }) => incarnation) >= LOSS_LIMIT
   if (isGivenUp) return 'give_up'
   return crashes.length > 0 ? 'suspect' : 'clear'
 }
 
-/** An agent as the choice for a suspect sees it. */
+/** An agent as a candidate for a suspect task. */
 export interface LeastLoadedView {
-  /** What its endpoint has. */
+  /** The whole capacity of its endpoint. */
   readonly capacity: Readonly<Resources>
-  /** What of that is free. */
   readonly freeCapacity: Readonly<Resources>
 }
 
-/** What the choice for a suspect rests on besides. */
+/** What is known of the candidates for a suspect task. */
 export interface LeastLoadedContext<Agent> {
-  /** True if an endpoint was lost under the task there. */
+  /** True if a run of the task has failed there, or was too slow. */
   readonly isAvoided: (agent: Agent) => boolean
-  /** True if another suspect is there: with both, neither could be cleared. */
+  /** True if another suspect task runs there: with two, a crash could not be attributed to either. */
   readonly hasSuspect: (agent: Agent) => boolean
 }
 
 /**
- * Places where the crash of a suspect's endpoint would take least along: those
- * with the least in use, apart from other suspects, and elsewhere than before.
+ * Finds the agents where a crash of the endpoint would affect least: those with
+ * the least capacity in use. Avoided agents and those with another suspect task
+ * are taken only if there are no others.
  *
- * @param agents - those of the task's service that take work
- * @param need - of the task
- * @param context - what the choice rests on besides
+ * @param agents - the agents of the task's service that accept work
+ * @param need - resources that the task needs
+ * @param context - what is known of the agents
+ * @returns agents whose capacity in use differs from the least by less than the task's need
  */
 export const leastLoaded = <Agent extends LeastLoadedView>(agents: readonly Agent[], need: Resources, { isAvoided, hasSuspect }: LeastLoadedContext<Agent>): Agent[] => {
-  const fitting = agents.filter(({ freeCapacity: room }) => fits(need, room))
-  const elsewhere = fitting.filter((agent) => !isAvoided(agent))
-  const open = elsewhere.length > 0 ? elsewhere : fitting
-  const apart = open.filter((agent) => !hasSuspect(agent))
-  const places = apart.length > 0 ? apart : open
-  const usedAt = ({ capacity, freeCapacity: room }: Agent): number => capacity.cpuMilli - room.cpuMilli
-  const leastMilli = Math.min(...places.map(usedAt))
-  return places.filter((agent) => usedAt(agent) - leastMilli < need.cpuMilli)
+  const fitting = agents.filter(({ freeCapacity }) => fits(need, freeCapacity))
+  const notAvoided = fitting.filter((agent) => !isAvoided(agent))
+  const acceptable = notAvoided.length > 0 ? notAvoided : fitting
+  const withoutSuspect = acceptable.filter((agent) => !hasSuspect(agent))
+  const candidates = withoutSuspect.length > 0 ? withoutSuspect : acceptable
+  const usedMilli = ({ capacity, freeCapacity }: Agent): number => capacity.cpuMilli - freeCapacity.cpuMilli
+  const leastMilli = Math.min(...candidates.map(usedMilli))
+  return candidates.filter((agent) => usedMilli(agent) - leastMilli < need.cpuMilli)
 }
--- a/packages/decisions/src/types.ts
+++ b/packages/decisions/src/types.ts
@@ -1,33 +1,35 @@
-/** What a task uses, or an endpoint offers. */
+/** Types that several decisions share. */
+
+/** Processor and memory: what a task needs, or what an endpoint has. */
 export interface Resources {
   /** Thousandths of a processor core. */
   cpuMilli: number
   memoryMb: number
 }
 
-/** True if `need` fits into `room`. */
+/** True if `need` fits into `free`. */
 export const fits = (need: Resources, free: Resources): boolean =>
   need.cpuMilli <= free.cpuMilli && need.memoryMb <= free.memoryMb
 
-/** A job as the decisions see it. All times are on the entry's monotonic clock, in ms. */
+/** A job as the decisions see it. All times are in ms on the entry's monotonic clock. */
 export interface JobView {
-  /** 0 goes first. */
+  /** 0 is the most urgent. */
   readonly priority: number
-  /** What each of its tasks uses. */
+  /** Resources that each task needs. */
   readonly need: Resources
-  /** Run time to expect of one task, in ms. */
+  /** Expected run time of one task, in ms. */
   readonly expectedMs: number
   readonly arrivedAt: number
-  /** The answer is in time until then. */
+  /** An answer after this time misses the objective. */
   readonly dueAt: number
-  /** From then on an answer is of no use. */
+  /** An answer after this time is of no use. */
   readonly expiresAt: number
-  /** A job of which nothing was started by then is refused. */
+  /** The job is refused if none of its tasks has been started by this time. */
   readonly shedAt: number
-  /** Tasks that wait to be sent. */
+  /** Indexes of the tasks that wait to be sent. */
   readonly queue: readonly number[]
-  /** Tasks that ran, run or may run. */
+  /** Number of tasks that ran, are running or may be running. */
   readonly mayHaveRun: number
-  /** Longest run of its tasks that ended, in ms; 0 while none has. */
+  /** Longest run among its tasks that ended, in ms; 0 if none has ended. */
   readonly longestRunMs: number
 }
