--- a/packages/decisions/src/handOn.ts
+++ b/packages/decisions/src/handOn.ts
@@ -51,7 +51,7 @@
   readonly now: number
   /** Availability zone of the origin entry. */
   readonly zone: string
-  /** True if the origin entry has needed help, by `needsHelp`, for more than a moment. */
+  /** True if the origin entry has needed help, by `needsHelp`, for some time. */
   readonly isOverloaded: boolean
   readonly own: OriginView
   readonly neighbours: readonly Neighbour[]
--- a/packages/decisions/tests/views.ts
+++ b/packages/decisions/tests/views.ts
@@ -1,7 +1,7 @@
 import type { JobView, PlaceView } from '../src/index.js'
 
-/** A job of one task of a core and 100 ms that arrived at 0 and is in time until 200. */
-export const jobView = (more: Partial<JobView> = {}): JobView => ({
+/** A job of one task that needs one core for 100 ms; it arrived at 0 and is due at 200. */
+export const jobView = (overrides: Partial<JobView> = {}): JobView => ({
   priority: 0,
   need: { cpuMilli: 1000, memoryMb: 64 },
   expectedMs: 100,
@@ -12,14 +12,14 @@
   queue: [0],
   mayHaveRun: 0,
   longestRunMs: 0,
-  ...more
+  ...overrides
 })
 
-/** An agent in zone `here` that has just told room for ten such tasks. */
-export const placeView = (more: Partial<PlaceView> & { rooms?: number } = {}): PlaceView => ({
+/** An agent in zone `here` that has just reported free capacity for ten such tasks, or for `slots`. */
+export const placeView = (overrides: Partial<PlaceView> & { slots?: number } = {}): PlaceView => ({
   zone: 'here',
-  freeCapacity: { cpuMilli: 1000 * (more.rooms ?? 10), memoryMb: 9999 },
+  freeCapacity: { cpuMilli: 1000 * (overrides.slots ?? 10), memoryMb: 9999 },
   receivedAt: 0,
   slowness: 1,
-  ...more
+  ...overrides
 })
