--- a/packages/coordination/src/leased/leasedAdmission.ts
+++ b/packages/coordination/src/leased/leasedAdmission.ts
@@ -50,7 +50,7 @@
  * @param load - what this entry serves
  * @param policy - the decisions
  */
-export const findHopeless = (jobs: LeasedJob[], now: number, load: LoadView, policy: Pick<Policy, 'giveUp' | 'retryAfter'>): Array<{ job: LeasedJob, end: LeasedJobEnd }> => {
+export const findJobsToShed = (jobs: LeasedJob[], now: number, load: LoadView, policy: Pick<Policy, 'giveUp' | 'retryAfter'>): Array<{ job: LeasedJob, end: LeasedJobEnd }> => {
   let all = 0
   const ownWork = new Map<number, number>()
   return jobs.flatMap((job) => {
--- a/packages/coordination/src/leased/loadRecord.ts
+++ b/packages/coordination/src/leased/loadRecord.ts
@@ -39,12 +39,12 @@
   constructor (private readonly now: () => number) {}
 
   /** A job has come. */
-  onAsked (priority: number, work: number): void {
+  onArrived (priority: number, work: number): void {
     this.recordOf(priority).asked.add(work, this.now())
   }
 
   /** It was taken on. */
-  onTaken (priority: number, work: number): void {
+  onAdmitted (priority: number, work: number): void {
     this.recordOf(priority).taken.add(work, this.now())
   }
 
@@ -60,7 +60,7 @@
   }
 
   /** Looks at the queue; to be called a few tens of times a second. */
-  onLook (isWaiting: boolean): void {
+  recordWaiting (isWaiting: boolean): void {
     const now = this.now()
     const passedMs = now - this.readAt
     if (this.wasWaiting) {
--- a/packages/coordination/src/leased/suspects.ts
+++ b/packages/coordination/src/leased/suspects.ts
@@ -56,12 +56,12 @@
    *
    * @returns how its job ends, if its task is not to be started again
    */
-  onFailed ({ agentId }: LeasedAgent, { job, index, life }: SentRun, reason: Reason): LeasedJobEnd | undefined {
+  onFailed ({ agentId }: LeasedAgent, { job, index, endpointIncarnation: life }: SentRun, reason: Reason): LeasedJobEnd | undefined {
     if (!LOSSES.has(reason)) return undefined
     const isCrash = reason === REASONS.endpointCrashed
     this.remember(job, index, { incarnation: `${agentId}/${life}`, agent: agentId, isCrash, at: this.now() })
     const task = job.tasks[index]!
-    if (isCrash) task.avoid.add(agentId)
+    if (isCrash) task.avoidedAgents.add(agentId)
     const verdict = this.judge(job, index)
     task.isSuspect = verdict === 'suspect'
     if (verdict !== 'clear') this.onSuspect(job, index, this.livesOf(job, index), verdict)
