--- a/packages/coordination/src/handoff/handedOnJobs.ts
+++ b/packages/coordination/src/handoff/handedOnJobs.ts
@@ -100,7 +100,7 @@
     if (to === undefined) return dispatcher.submit(spec, onEnd)
     const job = createLeasedJob(spec, now, this.expectedMs(spec), onEnd)
     this.watch.onHandedOn(now)
-    Object.assign(job, { queue: [], unproved: 1, mayHaveRun: job.count })
+    Object.assign(job, { queue: [], unterminatedRuns: 1, mayHaveRun: job.count })
     this.jobs.set(job.key, job)
     const offer = encodeOffer(to.add(job, now), spec)
     to.link.add((frame) => frame.offers.push(offer))
@@ -207,10 +207,10 @@
   /** Nothing of it runs at the neighbour any more, and nothing ever will. */
   private release (job: LeasedJob, reason: ReturnReason): void {
     this.jobs.delete(job.key)
-    job.unproved = 0
+    job.unterminatedRuns = 0
     if (job.end === undefined) this.placeHere(job, reason)
-    job.onOver?.()
-    job.onOver = undefined
+    job.onTerminated?.()
+    job.onTerminated = undefined
   }
 
   private placeHere (job: LeasedJob, reason: ReturnReason): void {
--- a/packages/coordination/src/handoff/hostedJobs.ts
+++ b/packages/coordination/src/handoff/hostedJobs.ts
@@ -4,7 +4,7 @@
 import type { HostRefusal, OwnView } from '@hazellift/decisions'
 import { HAND_ON_ENDS, HandOnEndSchema, HandOnNewsSchema, REASONS } from '@hazellift/protocol'
 import type { CallerFrame, HandOnEnd, HandOnHello, HandOnOffer, HostFrame, Reason } from '@hazellift/protocol'
-import type { Sponsor } from '../leased/heldEchoes.js'
+import type { OriginEntry } from '../leased/echoLimits.js'
 import type { LeasedFleet } from '../leased/leasedFleet.js'
 import type { LeasedJob, LeasedJobEnd } from '../leased/leasedJob.js'
 import { submissionKey } from '../tasks/keys.js'
@@ -16,7 +16,7 @@
 export interface HostedPeer {
   readonly entryId: string
   readonly link: HandOnLink<HostFrame>
-  readonly sponsor: Sponsor
+  readonly sponsor: OriginEntry
   /** Its jobs by the number of their offer, until nothing of them runs. */
   readonly jobs: Map<number, LeasedJob>
   sentAt: number
@@ -72,7 +72,7 @@
   open ({ entryId }: HandOnHello, link: HandOnLink<HostFrame>): HostedPeer {
     const peer: HostedPeer = { entryId, link, sponsor: { aliveAt: -Infinity }, jobs: new Map(), sentAt: -Infinity, heardAt: this.options.clock.now() }
     this.peers.add(peer)
-    this.options.fleet.echoes.begin(peer.sponsor)
+    this.options.fleet.echoLimits.addOrigin(peer.sponsor)
     link.add(() => {})
     return peer
   }
@@ -80,7 +80,7 @@
   /** The stream is over: nobody takes the answers any more. */
   closed (peer: HostedPeer): void {
     if (!this.peers.delete(peer)) return
-    this.options.fleet.echoes.end(peer.sponsor)
+    this.options.fleet.echoLimits.removeOrigin(peer.sponsor)
     this.stop(peer)
   }
 
@@ -141,7 +141,7 @@
     peer.jobs.set(offer.offer, job)
     events.hosted(peer.entryId, job, aliveMs)
     // A refused job is over before it could say so.
-    if (this.options.dispatcher.find(job.key) === job) job.onOver = () => this.onOver(peer, offer.offer)
+    if (this.options.dispatcher.find(job.key) === job) job.onTerminated = () => this.onOver(peer, offer.offer)
     else this.onOver(peer, offer.offer)
   }
 
--- a/packages/coordination/src/handoff/offers.ts
+++ b/packages/coordination/src/handoff/offers.ts
@@ -1,7 +1,7 @@
 import { create } from '@bufbuild/protobuf'
 import { HandOnOfferSchema } from '@hazellift/protocol'
 import type { HandOnOffer } from '@hazellift/protocol'
-import type { Sponsor } from '../leased/heldEchoes.js'
+import type { OriginEntry } from '../leased/echoLimits.js'
 import type { LeasedJobSpec } from '../leased/leasedJob.js'
 
 /**
@@ -38,7 +38,7 @@
 })
 
 /** The job that a message offers. */
-export const decodeOffer = (offer: HandOnOffer, sponsor: Sponsor): LeasedJobSpec => ({
+export const decodeOffer = (offer: HandOnOffer, sponsor: OriginEntry): LeasedJobSpec => ({
   workspace: offer.workspace,
   id: offer.submission,
   requestId: offer.requestId,
@@ -52,5 +52,5 @@
   attempts: offer.attempts,
   objective: { stretch: offer.stretch, slackMs: offer.slackMs, lateFactor: offer.lateFactor },
   deadlineMs: offer.deadlineMs,
-  sponsor
+  originEntry: sponsor
 })
--- a/packages/coordination/src/handoff/roomNews.ts
+++ b/packages/coordination/src/handoff/roomNews.ts
@@ -1,5 +1,5 @@
 import { forecastWait, workAhead } from '@hazellift/decisions'
-import type { Sponsor } from '../leased/heldEchoes.js'
+import type { OriginEntry } from '../leased/echoLimits.js'
 import type { LeasedFleet } from '../leased/leasedFleet.js'
 
 /** What an entry can do for a job of a service. */
@@ -16,9 +16,9 @@
  * @param now - in ms, on the process's clock
  * @param sponsor - for whose jobs; only agents count where they may start now
  */
-export const roomOf = (fleet: LeasedFleet, service: string, now: number, sponsor?: Sponsor): ServiceRoom => {
+export const roomOf = (fleet: LeasedFleet, service: string, now: number, sponsor?: OriginEntry): ServiceRoom => {
   const { queue } = fleet.serviceOf(service)
-  const agents = fleet.agentsOf(service).filter((agent) => fleet.echoes.mayStart({ sponsor }, agent, now))
+  const agents = fleet.agentsOf(service).filter((agent) => fleet.echoLimits.mayStart({ originEntry: sponsor }, agent, now))
   const freeMilli = agents.reduce((sum, { room, entryCount }) => sum + Math.max(0, room.cpuMilli) / entryCount, 0)
   const priority = Math.max(0, ...[...queue].map((job) => job.priority))
   const waitMs = forecastWait(workAhead(queue, priority), priority, fleet.loadOf(service))
--- a/packages/coordination/src/leased/configExchange.test.ts
+++ b/packages/coordination/src/leased/configExchange.test.ts
@@ -25,19 +25,19 @@
 }
 
 /** An entry with sessions to agents that say what they hold; frames leave a turn after they were asked for. */
-class OneEntry {
+class EntryFixture {
   readonly clock = createFakeClock()
   readonly sent: Sent[] = []
   readonly newer: bigint[] = []
   readonly sessions: LeasedSessions
   readonly agents: LeasedAgent[] = []
-  readonly held: bigint[] = []
+  readonly replicaVersions: bigint[] = []
   /** Frames that were asked for and have not left. */
   private readonly pending = new Map<number, EntryFrame>()
 
   constructor (agents: number) {
     const { clock } = this
-    const fleet = new LeasedFleet({ clock, random: seededRandom(1), zone: 'z', setAsideShare: 0.4, setAsideBackoff: () => 1000 })
+    const fleet = new LeasedFleet({ clock, random: seededRandom(1), zone: 'z', maxEjectedShare: 0.4, ejectionBackoff: () => 1000 })
     this.sessions = new LeasedSessions({
       clock,
       times: TIMES,
@@ -52,27 +52,27 @@
   }
 
   /** Moves time on; agents that were sent a document hold it a moment later, or never if the link stands still. */
-  run (ms: number, isLinkStill = false): void {
+  run (ms: number, isLinkStalled = false): void {
     for (let passed = 0; passed < ms; passed += SWEEP_MS) {
       this.sessions.sweep(this.clock.now())
-      this.flush(isLinkStill)
-      if (passed % KEEP_ALIVE_MS === 0) for (const [index, { link }] of this.agents.entries()) if (link !== undefined) this.hear(index, { configVersion: this.held[index]! })
-      this.flush(isLinkStill)
+      this.flush(isLinkStalled)
+      if (passed % KEEP_ALIVE_MS === 0) for (const [index, { link }] of this.agents.entries()) if (link !== undefined) this.receive(index, { configVersion: this.replicaVersions[index]! })
+      this.flush(isLinkStalled)
       this.clock.advance(SWEEP_MS)
     }
   }
 
-  hear (index: number, frame: Partial<AgentFrame>): void {
+  receive (index: number, frame: Partial<AgentFrame>): void {
     const agent = this.agents[index]!
     this.sessions.onFrame(agent, agent.link!, create(AgentFrameSchema, { stampMs: this.clock.now(), ...frame } as AgentFrame))
   }
 
   /** What is asked for leaves. */
-  flush (isLinkStill = false): void {
+  flush (isLinkStalled = false): void {
     for (const [index, frame] of this.pending) {
       this.sessions.stamp(this.agents[index]!, frame)
       this.sent.push({ at: this.clock.now(), bytes: toBinary(EntryFrameSchema, frame).length, frame })
-      if (frame.config.length > 0 && !isLinkStill) this.held[index] = frame.configVersion
+      if (frame.config.length > 0 && !isLinkStalled) this.replicaVersions[index] = frame.configVersion
     }
     this.pending.clear()
   }
@@ -89,49 +89,49 @@
     }
     const link = { add, acknowledge: () => {}, close: () => {} }
     this.agents.push(this.sessions.open(create(HelloSchema, { agentId: `a${index}`, incarnation: `i${index}`, zone: 'z' }), link))
-    this.held.push(0n)
+    this.replicaVersions.push(0n)
   }
 }
 
 const documentOf = (version: bigint): Uint8Array => new Uint8Array(DOCUMENT_BYTES).fill(Number(version))
 
 describe('what a change of the configuration costs an entry', () => {
-  const changes: Array<{ name: string, agents: number, versions: bigint[], gapMs: number, isLinkStill: boolean, mostBytes: number }> = [
-    { name: 'one change at 160 agents', agents: 160, versions: [1n], gapMs: 2000, isLinkStill: false, mostBytes: 20_000 },
-    { name: 'one at 160 agents over a link on which nothing arrives', agents: 160, versions: [1n], gapMs: 2000, isLinkStill: true, mostBytes: 20_000 },
-    { name: 'three a second for four seconds', agents: 160, versions: [1n, 2n, 3n, 4n, 5n, 6n, 7n, 8n, 9n, 10n, 11n, 12n], gapMs: 325, isLinkStill: false, mostBytes: 120_000 }
+  const changes: Array<{ name: string, agents: number, versions: bigint[], gapMs: number, isLinkStalled: boolean, maxBytes: number }> = [
+    { name: 'one change at 160 agents', agents: 160, versions: [1n], gapMs: 2000, isLinkStalled: false, maxBytes: 20_000 },
+    { name: 'one at 160 agents over a link on which nothing arrives', agents: 160, versions: [1n], gapMs: 2000, isLinkStalled: true, maxBytes: 20_000 },
+    { name: 'three a second for four seconds', agents: 160, versions: [1n, 2n, 3n, 4n, 5n, 6n, 7n, 8n, 9n, 10n, 11n, 12n], gapMs: 325, isLinkStalled: false, maxBytes: 120_000 }
   ]
-  it.each(changes)('$name', ({ agents, versions, gapMs, isLinkStill, mostBytes }) => {
-    const entry = new OneEntry(agents)
+  it.each(changes)('$name', ({ agents, versions, gapMs, isLinkStalled, maxBytes }) => {
+    const entry = new EntryFixture(agents)
     for (const version of versions) {
       entry.sessions.setConfig(version, documentOf(version))
-      entry.run(gapMs, isLinkStill)
+      entry.run(gapMs, isLinkStalled)
     }
     const { documents } = entry
     expect(documents.length).toBeGreaterThan(0)
-    expect(documents.reduce((sum, { bytes }) => sum + bytes, 0)).toBeLessThan(mostBytes)
+    expect(documents.reduce((sum, { bytes }) => sum + bytes, 0)).toBeLessThan(maxBytes)
     for (const { at } of documents) {
-      const near = documents.filter((other) => other.at >= at && other.at < at + 100)
-      expect(near.reduce((sum, { bytes }) => sum + bytes, 0)).toBeLessThanOrEqual(LINK_BYTES / 5)
+      const recent = documents.filter((other) => other.at >= at && other.at < at + 100)
+      expect(recent.reduce((sum, { bytes }) => sum + bytes, 0)).toBeLessThanOrEqual(LINK_BYTES / 5)
     }
   })
 
   it('the agents that keep it are replaced when they go', () => {
-    const entry = new OneEntry(6)
+    const entry = new EntryFixture(6)
     entry.sessions.setConfig(1n, documentOf(1n))
     entry.run(600)
-    const keepers = entry.held.flatMap((version, index) => version === 1n ? [index] : [])
-    expect(keepers).toHaveLength(3)
-    const gone = entry.agents[keepers[0]!]!
-    entry.sessions.closed(gone, gone.link!)
+    const replicas = entry.replicaVersions.flatMap((version, index) => version === 1n ? [index] : [])
+    expect(replicas).toHaveLength(3)
+    const departed = entry.agents[replicas[0]!]!
+    entry.sessions.closed(departed, departed.link!)
     entry.run(300)
-    expect(entry.held.filter((version) => version === 1n)).toHaveLength(4)
+    expect(entry.replicaVersions.filter((version) => version === 1n)).toHaveLength(4)
   })
 })
 
 describe('a document and its version', () => {
   it('go together, whatever came into force since the frame was asked for', () => {
-    const entry = new OneEntry(1)
+    const entry = new EntryFixture(1)
     entry.sessions.setConfig(1n, documentOf(1n))
     entry.sessions.sweep(entry.clock.now())
     entry.sessions.setConfig(2n, documentOf(2n))
@@ -157,28 +157,28 @@
 })
 
 describe('an entry that hears of a newer document', () => {
-  const waits: Array<{ name: string, own: bigint, isDoubted?: boolean, beforeMs: number, asks: number }> = [
-    { name: 'leaves the store some time', own: 1n, beforeMs: 200, asks: 0 },
-    { name: 'asks one agent if the store does not bring it', own: 1n, beforeMs: 400, asks: 1 },
-    { name: 'asks at once if it has none', own: 0n, beforeMs: 50, asks: 1 },
-    { name: 'asks at once while the store is in doubt', own: 1n, isDoubted: true, beforeMs: 50, asks: 1 },
-    { name: 'is not asked for more often by a store in doubt', own: 1n, isDoubted: true, beforeMs: 200, asks: 1 }
+  const requestCases: Array<{ name: string, ownVersion: bigint, isUnconfirmed?: boolean, waitMs: number, requests: number }> = [
+    { name: 'leaves the store some time', ownVersion: 1n, waitMs: 200, requests: 0 },
+    { name: 'asks one agent if the store does not bring it', ownVersion: 1n, waitMs: 400, requests: 1 },
+    { name: 'asks at once if it has none', ownVersion: 0n, waitMs: 50, requests: 1 },
+    { name: 'asks at once while the store is in doubt', ownVersion: 1n, isUnconfirmed: true, waitMs: 50, requests: 1 },
+    { name: 'is not asked for more often by a store in doubt', ownVersion: 1n, isUnconfirmed: true, waitMs: 200, requests: 1 }
   ]
-  it.each(waits)('$name', ({ own, isDoubted = false, beforeMs, asks }) => {
-    const entry = new OneEntry(4)
-    entry.sessions.setConfigDoubt(isDoubted)
-    if (own > 0n) entry.sessions.setConfig(own, documentOf(own))
-    entry.held.fill(2n)
-    entry.run(beforeMs)
-    expect(entry.sent.filter(({ frame }) => frame.wantsConfig)).toHaveLength(asks)
+  it.each(requestCases)('$name', ({ ownVersion, isUnconfirmed = false, waitMs, requests }) => {
+    const entry = new EntryFixture(4)
+    entry.sessions.setConfigUnconfirmed(isUnconfirmed)
+    if (ownVersion > 0n) entry.sessions.setConfig(ownVersion, documentOf(ownVersion))
+    entry.replicaVersions.fill(2n)
+    entry.run(waitMs)
+    expect(entry.sent.filter(({ frame }) => frame.wantsConfig)).toHaveLength(requests)
   })
 
   it('asks the next agent when one does not answer, and tells of what it was given', () => {
-    const entry = new OneEntry(4)
-    entry.held.fill(2n)
+    const entry = new EntryFixture(4)
+    entry.replicaVersions.fill(2n)
     entry.run(700)
     expect(entry.sent.filter(({ frame }) => frame.wantsConfig).length).toBeGreaterThan(1)
-    entry.hear(0, { configVersion: 2n, config: documentOf(2n) })
+    entry.receive(0, { configVersion: 2n, config: documentOf(2n) })
     expect(entry.newer).toEqual([2n])
   })
 })
--- a/packages/coordination/src/leased/configExchange.ts
+++ b/packages/coordination/src/leased/configExchange.ts
@@ -17,13 +17,13 @@
  * takes 400 KB of an entry with 160 of them (counted, 2.5 KB packed); with three,
  * under 20 KB.
  */
-const KEEPERS = 3
+const REPLICA_COUNT = 3
 /** One copy at a time: with some 2 KB each, a change takes less than a tenth of a link of 2 Mbit/s. */
-const SEND_PACE_MS = 100
+const SEND_INTERVAL_MS = 100
 /** The store's own watch is usually quicker than a peer; a document is asked for only where it is not, or is in doubt. */
-const ASK_AFTER_MS = 300
+const REQUEST_DELAY_MS = 300
 /** Time for the answer, before another agent is asked. */
-const ASK_PACE_MS = 250
+const REQUEST_INTERVAL_MS = 250
 
 /**
  * An entry's exchange of configuration documents with its agents: a few of them
@@ -35,12 +35,12 @@
  */
 export class ConfigExchange {
   private readonly copy = new ConfigCopy()
-  private newest = 0n
-  private newerSince = -Infinity
+  private newestVersion = 0n
+  private newestSince = -Infinity
   private sentAt = -Infinity
-  private lookedAt = -Infinity
-  private askedAt = -Infinity
-  private isOwnDoubted = false
+  private checkedAt = -Infinity
+  private requestedAt = -Infinity
+  private isOwnUnconfirmed = false
 
   constructor (private readonly options: ConfigExchangeOptions) {}
 
@@ -50,65 +50,65 @@
   }
 
   /** The store may hold a newer document than it showed this entry: agents that tell of one are asked at once. */
-  setDoubt (isDoubted: boolean): void {
-    this.isOwnDoubted = isDoubted
+  setUnconfirmed (isUnconfirmed: boolean): void {
+    this.isOwnUnconfirmed = isUnconfirmed
   }
 
   /** An agent told what it holds, or gave its document. */
   onFrame (agent: LeasedAgent, { configVersion, config }: AgentFrame): void {
-    agent.config.heldVersion = configVersion
+    agent.config.replicaVersion = configVersion
     if (config.length > 0 && this.copy.offer(configVersion, config)) this.options.onNewer(configVersion, config)
-    if (configVersion <= this.newest) return
-    this.newest = configVersion
-    this.newerSince = this.options.clock.now()
+    if (configVersion <= this.newestVersion) return
+    this.newestVersion = configVersion
+    this.newestSince = this.options.clock.now()
   }
 
   /** Fills in a frame as it leaves. */
-  stamp ({ config }: LeasedAgent, frame: EntryFrame): void {
+  fillFrame ({ config }: LeasedAgent, frame: EntryFrame): void {
     frame.configVersion = this.copy.version
-    frame.wantsConfig = config.isAsked
-    config.isAsked = false
-    if (!config.isDue) return
-    config.isDue = false
+    frame.wantsConfig = config.isRequestDue
+    config.isRequestDue = false
+    if (!config.isDocumentDue) return
+    config.isDocumentDue = false
     config.sentVersion = this.copy.version
     frame.config = this.copy.document
   }
 
   /** To be called a few tens of times a second. */
   sweep (now: number): void {
-    if (this.copy.version > 0n && now - Math.max(this.sentAt, this.lookedAt) >= SEND_PACE_MS) this.sendToNext(now)
-    const isWaited = this.copy.version === 0n || this.isOwnDoubted || now - this.newerSince >= ASK_AFTER_MS
-    if (this.newest > this.copy.version && isWaited && now - this.askedAt >= ASK_PACE_MS) this.askNext(now)
+    if (this.copy.version > 0n && now - Math.max(this.sentAt, this.checkedAt) >= SEND_INTERVAL_MS) this.sendToNextReplica(now)
+    const isRequestAllowed = this.copy.version === 0n || this.isOwnUnconfirmed || now - this.newestSince >= REQUEST_DELAY_MS
+    if (this.newestVersion > this.copy.version && isRequestAllowed && now - this.requestedAt >= REQUEST_INTERVAL_MS) this.requestFromNext(now)
   }
 
-  private sendToNext (now: number): void {
-    this.lookedAt = now
+  private sendToNextReplica (now: number): void {
+    this.checkedAt = now
     const { version } = this.copy
-    const keeper = this.keepers.find(({ config }) => config.heldVersion < version && config.sentVersion < version)
-    if (keeper === undefined) return
+    const replica = this.replicas.find(({ config }) => config.replicaVersion < version && config.sentVersion < version)
+    if (replica === undefined) return
     this.sentAt = now
-    keeper.config.isDue = true
-    keeper.link!.add(() => {})
+    replica.config.isDocumentDue = true
+    replica.link!.add(() => {})
   }
 
   /** Asks the agent that was asked longest ago. */
-  private askNext (now: number): void {
-    const [holder] = this.connected
-      .filter(({ config }) => config.heldVersion > this.copy.version)
-      .sort((a, b) => a.config.askedAt - b.config.askedAt)
-    if (holder === undefined) return
-    this.askedAt = now
-    holder.config.askedAt = now
-    holder.config.isAsked = true
-    holder.link!.add(() => {})
+  private requestFromNext (now: number): void {
+    const [source] = this.connectedAgents
+      .filter(({ config }) => config.replicaVersion > this.copy.version)
+      .sort((a, b) => a.config.requestedAt - b.config.requestedAt)
+    if (source === undefined) return
+    this.requestedAt = now
+    source.config.requestedAt = now
+    source.config.isRequestDue = true
+    source.link!.add(() => {})
   }
 
-  private get connected (): LeasedAgent[] {
+  private get connectedAgents (): LeasedAgent[] {
     return [...this.options.agents()].filter(({ link, isLeaving }) => link !== undefined && !isLeaving)
   }
 
   /** The same agents for all entries that know them, so that few hold a copy. */
-  private get keepers (): LeasedAgent[] {
-    return this.connected.sort((a, b) => b.config.keeperScore - a.config.keeperScore).slice(0, KEEPERS)
+  private get replicas (): LeasedAgent[] {
+    return this.connectedAgents.sort((a, b) => b.config.replicaScore - a.config.replicaScore).slice(0, REPLICA_COUNT)
   }
 }
--- a/packages/coordination/src/leased/heldEchoes.ts
+++ b/packages/coordination/src/leased/echoLimits.ts
@@ -2,15 +2,15 @@
 import type { LeasedJob } from './leasedJob.js'
 
 /** Another entry for which this one runs jobs. */
-export interface Sponsor {
+export interface OriginEntry {
   /** It was surely alive at this moment of this process's clock. */
   aliveAt: number
 }
 
 /** An entry that was heard of longer ago gets no start, and other agents' echoes are not held back for it. */
-const FRESH_MS = 150
+const MAX_ORIGIN_SILENCE_MS = 150
 /** An echo is not held back further, as long as nothing of another entry is out at the agent. */
-const MAX_HELD_MS = 400
+const MAX_STAMP_AGE_MS = 400
 
 /**
  * Which stamps an entry echoes to its agents while it runs jobs of other
@@ -22,49 +22,49 @@
  * sponsor lived, and its authority ends as soon after the sponsor's death as if
  * the sponsor itself had ordered the start.
  */
-export class HeldEchoes {
-  private readonly open = new Set<Sponsor>()
-  private isUsed = false
+export class EchoLimits {
+  private readonly openOrigins = new Set<OriginEntry>()
+  private hasSeenOrigin = false
 
   /** From now on jobs of this entry may come; echoes are held back so that they can be started. */
-  begin (sponsor: Sponsor): void {
-    this.open.add(sponsor)
-    this.isUsed = true
+  addOrigin (originEntry: OriginEntry): void {
+    this.openOrigins.add(originEntry)
+    this.hasSeenOrigin = true
   }
 
   /** None come any more; those that are out still hold echoes back. */
-  end (sponsor: Sponsor): void {
-    this.open.delete(sponsor)
+  removeOrigin (originEntry: OriginEntry): void {
+    this.openOrigins.delete(originEntry)
   }
 
   /** A frame of the agent was read. */
   onStamp (agent: LeasedAgent, now: number): void {
-    if (this.isUsed) agent.stamps.add(now, agent.stampMs)
+    if (this.hasSeenOrigin) agent.stamps.add(now, agent.stampMs)
   }
 
   /** The stamp to echo with a frame that leaves now. */
-  echo (agent: LeasedAgent, now: number): number {
-    const stampMs = this.isUsed ? this.limited(agent, now) : agent.stampMs
+  stampToEcho (agent: LeasedAgent, now: number): number {
+    const stampMs = this.hasSeenOrigin ? this.limitedStamp(agent, now) : agent.stampMs
     agent.echoedStampMs = Math.max(agent.echoedStampMs, stampMs)
     return stampMs
   }
 
   /** True if a start of the job may be sent to the agent. */
-  mayStart ({ sponsor }: Pick<LeasedJob, 'sponsor'>, agent: LeasedAgent, now: number): boolean {
-    if (sponsor === undefined) return true
-    if (now - sponsor.aliveAt > FRESH_MS) return false
-    const held = agent.stamps.readBy(sponsor.aliveAt)
-    return held !== undefined && now - held.readAt <= MAX_HELD_MS && agent.echoedStampMs <= held.stampMs
+  mayStart ({ originEntry }: Pick<LeasedJob, 'originEntry'>, agent: LeasedAgent, now: number): boolean {
+    if (originEntry === undefined) return true
+    if (now - originEntry.aliveAt > MAX_ORIGIN_SILENCE_MS) return false
+    const safeStamp = agent.stamps.receivedBy(originEntry.aliveAt)
+    return safeStamp !== undefined && now - safeStamp.receivedAt <= MAX_STAMP_AGE_MS && agent.echoedStampMs <= safeStamp.stampMs
   }
 
-  private limited (agent: LeasedAgent, now: number): number {
+  private limitedStamp (agent: LeasedAgent, now: number): number {
     let limit = agent.stampMs
-    for (const { aliveAt } of this.open) {
-      const held = now - aliveAt <= FRESH_MS ? agent.stamps.readBy(aliveAt) : undefined
-      if (held !== undefined && now - held.readAt <= MAX_HELD_MS) limit = Math.min(limit, held.stampMs)
+    for (const { aliveAt } of this.openOrigins) {
+      const safeStamp = now - aliveAt <= MAX_ORIGIN_SILENCE_MS ? agent.stamps.receivedBy(aliveAt) : undefined
+      if (safeStamp !== undefined && now - safeStamp.receivedAt <= MAX_STAMP_AGE_MS) limit = Math.min(limit, safeStamp.stampMs)
     }
     for (const { job } of agent.sent.values()) {
-      if (job.sponsor !== undefined) limit = Math.min(limit, agent.stamps.readBy(job.sponsor.aliveAt)?.stampMs ?? 0)
+      if (job.originEntry !== undefined) limit = Math.min(limit, agent.stamps.receivedBy(job.originEntry.aliveAt)?.stampMs ?? 0)
     }
     return limit
   }
--- a/packages/coordination/src/leased/evacuationExchange.ts
+++ b/packages/coordination/src/leased/evacuationExchange.ts
@@ -29,17 +29,17 @@
 
   /** The operator's list was read. */
   set (evacuations: Pick<Evacuations, 'version' | 'zones'>): void {
-    this.offer(evacuations, 'operator')
+    this.update(evacuations, 'operator')
   }
 
   /** An agent told which list it has, or gave it. */
   onFrame (agent: LeasedAgent, { evacuationsVersion, evacuations }: AgentFrame): void {
     agent.evacuationsVersion = evacuationsVersion > agent.evacuationsVersion ? evacuationsVersion : agent.evacuationsVersion
-    if (evacuations !== undefined) this.offer(evacuations, 'agent')
+    if (evacuations !== undefined) this.update(evacuations, 'agent')
   }
 
   /** Fills in a frame as it leaves. */
-  stamp (agent: LeasedAgent, frame: EntryFrame): void {
+  fillFrame (agent: LeasedAgent, frame: EntryFrame): void {
     const { list } = this.options
     frame.evacuationsVersion = list.version
     if (agent.evacuationsVersion >= list.version) return
@@ -48,10 +48,10 @@
     frame.evacuations = list.toMessage()
   }
 
-  private offer (evacuations: Pick<Evacuations, 'version' | 'zones'>, origin: EvacuationOrigin): void {
+  private update (evacuations: Pick<Evacuations, 'version' | 'zones'>, origin: EvacuationOrigin): void {
     const { list, agents, onChange } = this.options
     const before = new Set(list.zones)
-    if (!list.offer(evacuations)) return
+    if (!list.update(evacuations)) return
     onChange(origin)
     for (const { zone, link } of agents()) if (before.has(zone) !== list.has(zone)) link?.add(() => {})
   }
--- a/packages/coordination/src/leased/findStragglers.ts
+++ b/packages/coordination/src/leased/findStragglers.ts
@@ -27,8 +27,8 @@
   return [...fleet.agents.values()].flatMap((agent) => [...agent.sent.values()]
     .filter((sent) => {
       const { job, index } = sent
-      const { isMoving, avoid } = job.tasks[index]!
-      if (job.end !== undefined || isMoving || avoid.size > 0) return false
+      const { isMoving, avoidedAgents } = job.tasks[index]!
+      if (job.end !== undefined || isMoving || avoidedAgents.size > 0) return false
       return isStraggler(agent, sent) && fleet.choose(job, index, { except: agent }) !== undefined
     })
     .map((sent) => ({ ...sent, agent })))
--- a/packages/coordination/src/leased/leasedAdmission.ts
+++ b/packages/coordination/src/leased/leasedAdmission.ts
@@ -14,7 +14,7 @@
   ({ type: 'refused', reason, message, retryAfterMs: retryAfter() })
 
 /** Names what the job's queue got, and what was kept for it. */
-const overload = (message: string, { priority }: LeasedJob, { queues }: LoadView, policy: Pick<Policy, 'retryAfter'>): LeasedJobEnd =>
+const refuseOverloaded = (message: string, { priority }: LeasedJob, { queues }: LoadView, policy: Pick<Policy, 'retryAfter'>): LeasedJobEnd =>
   ({ ...refuse(REASONS.overload, message, policy), share: queues.find((queue) => queue.priority === priority) })
 
 /**
@@ -36,8 +36,8 @@
   switch (admission.type) {
     case 'taken': return undefined
     case 'no_capacity': return refuse(REASONS.noEndpoint, `no endpoint serves '${job.service}' now`, policy)
-    case 'too_many': return overload('too many jobs wait', job, load, policy)
-    case 'too_late': return overload(`the jobs ahead take about ${Math.round(admission.waitMs)} ms`, job, load, policy)
+    case 'too_many': return refuseOverloaded('too many jobs wait', job, load, policy)
+    case 'too_late': return refuseOverloaded(`the jobs ahead take about ${Math.round(admission.waitMs)} ms`, job, load, policy)
     default: return assertNever(admission)
   }
 }
@@ -50,13 +50,13 @@
  * @param load - what this entry serves
  * @param policy - the decisions
  */
-export const findHopeless = (jobs: LeasedJob[], now: number, load: LoadView, policy: Pick<Policy, 'giveUp' | 'retryAfter'>): Array<{ job: LeasedJob, end: LeasedJobEnd }> => {
+export const findJobsToShed = (jobs: LeasedJob[], now: number, load: LoadView, policy: Pick<Policy, 'giveUp' | 'retryAfter'>): Array<{ job: LeasedJob, end: LeasedJobEnd }> => {
   let all = 0
   const ownWork = new Map<number, number>()
   return jobs.flatMap((job) => {
     const own = ownWork.get(job.priority) ?? 0
     const waitMs = forecastWait({ all, own }, job.priority, load)
-    if (policy.giveUp(job, now, waitMs)) return [{ job, end: overload(`no room in time: about ${Math.round(waitMs)} ms more`, job, load, policy) }]
+    if (policy.giveUp(job, now, waitMs)) return [{ job, end: refuseOverloaded(`no room in time: about ${Math.round(waitMs)} ms more`, job, load, policy) }]
     const work = workLeft(job)
     all += work
     ownWork.set(job.priority, own + work)
--- a/packages/coordination/src/leased/leasedAgent.ts
+++ b/packages/coordination/src/leased/leasedAgent.ts
@@ -12,31 +12,31 @@
   attempt: number
   sentAt: number
   /** Life of the endpoint there, as the agent had told. */
-  life: string
+  endpointIncarnation: string
 }
 
 /** What passed between an entry and an agent of configuration documents. */
-export interface AgentConfig {
+export interface ConfigExchangeState {
   /** The agents with the highest keep copies. */
-  readonly keeperScore: number
+  readonly replicaScore: number
   /** As the agent said last. */
-  heldVersion: bigint
+  replicaVersion: bigint
   /** Sent on this session. */
   sentVersion: bigint
   /** The next frame carries the document. */
-  isDue: boolean
+  isDocumentDue: boolean
   /** The next frame asks for the agent's document. */
-  isAsked: boolean
+  isRequestDue: boolean
   /** When it was asked last. */
-  askedAt: number
+  requestedAt: number
 }
 
-const KEEPER_KEY = 'config'
+const REPLICA_KEY = 'config'
 
-const NO_ROOM: Resources = { cpuMilli: 0, memoryMb: 0 }
+const NO_CAPACITY: Resources = { cpuMilli: 0, memoryMb: 0 }
 
-const subtract = (room: Resources, need: Resources): Resources =>
-  ({ cpuMilli: room.cpuMilli - need.cpuMilli, memoryMb: room.memoryMb - need.memoryMb })
+const subtract = (free: Resources, need: Resources): Resources =>
+  ({ cpuMilli: free.cpuMilli - need.cpuMilli, memoryMb: free.memoryMb - need.memoryMb })
 
 /** What an entry knows of one process of an agent, and what it has ordered there. */
 export class LeasedAgent {
@@ -45,8 +45,8 @@
   readonly zone: string
   service = ''
   /** Life of the endpoint; empty until the agent has proved that nothing else runs there. */
-  endpoint = ''
-  capacity = NO_ROOM
+  endpointIncarnation = ''
+  capacity = NO_CAPACITY
   link: AgentLink | undefined
   /** False until the agent told what it holds. */
   isResumed = false
@@ -66,32 +66,32 @@
   /** Entries that share its endpoint, as it said last. */
   entryCount = 1
   /** The agent was told that tasks wait here. */
-  knowsWanting = false
-  readonly config: AgentConfig
+  knowsDemand = false
+  readonly config: ConfigExchangeState
   /** Version of the list of evacuated zones that it has, or that was sent on this session. */
   evacuationsVersion = 0n
   /** The agent has told of its endpoint on this session. */
-  private hasToldEndpoint = false
+  private hasReportedEndpoint = false
   readonly sent = new Map<string, SentRun>()
-  private told = NO_ROOM
+  private reportedFree = NO_CAPACITY
   private startsSeen = 0
   /** Needs of the starts sent on this session, those that the told room does not reflect yet last. */
-  private unseen: Resources[] = []
+  private unseenNeeds: Resources[] = []
   /** The told room less these; read for every agent at each choice, so it is kept. */
-  private left = NO_ROOM
+  private remaining = NO_CAPACITY
 
   constructor ({ agentId, incarnation, zone }: Hello) {
     this.agentId = agentId
     this.incarnation = incarnation
     this.zone = zone
     this.config = {
-      keeperScore: rendezvousScore(agentId, KEEPER_KEY), heldVersion: 0n, sentVersion: 0n, isDue: false, isAsked: false, askedAt: -Infinity
+      replicaScore: rendezvousScore(agentId, REPLICA_KEY), replicaVersion: 0n, sentVersion: 0n, isDocumentDue: false, isRequestDue: false, requestedAt: -Infinity
     }
   }
 
   /** What can be sent on top of everything sent before. */
   get room (): Resources {
-    return this.left
+    return this.remaining
   }
 
   /** A new session: nothing of an earlier one counts. */
@@ -100,42 +100,42 @@
     this.link = link
     this.heardAt = now
     this.isResumed = false
-    this.hasToldEndpoint = false
-    this.knowsWanting = false
+    this.hasReportedEndpoint = false
+    this.knowsDemand = false
     Object.assign(this.config, { heldVersion: 0n, sentVersion: 0n, isDue: false, isAsked: false })
     this.evacuationsVersion = 0n
-    this.told = NO_ROOM
+    this.reportedFree = NO_CAPACITY
     this.startsSeen = 0
-    this.unseen = []
-    this.left = NO_ROOM
+    this.unseenNeeds = []
+    this.remaining = NO_CAPACITY
   }
 
   /** The agent told its room. */
-  setRoom ({ cpuMilli, memoryMb, startsSeen }: Room): void {
-    this.unseen.splice(0, startsSeen - this.startsSeen)
+  setFreeCapacity ({ cpuMilli, memoryMb, startsSeen }: Room): void {
+    this.unseenNeeds.splice(0, startsSeen - this.startsSeen)
     this.startsSeen = startsSeen
-    this.told = { cpuMilli, memoryMb }
-    this.left = this.unseen.reduce(subtract, this.told)
+    this.reportedFree = { cpuMilli, memoryMb }
+    this.remaining = this.unseenNeeds.reduce(subtract, this.reportedFree)
   }
 
   /** True if this is the life that the session has told of already, perhaps with another capacity. */
-  isSameLife ({ service, incarnation }: EndpointState): boolean {
-    return this.hasToldEndpoint && service !== '' && service === this.service && incarnation === this.endpoint
+  isSameIncarnation ({ service, incarnation }: EndpointState): boolean {
+    return this.hasReportedEndpoint && service !== '' && service === this.service && incarnation === this.endpointIncarnation
   }
 
   setEndpoint ({ service, incarnation, capacity }: EndpointState): void {
-    this.hasToldEndpoint = true
+    this.hasReportedEndpoint = true
     this.service = service
-    this.endpoint = incarnation
-    this.capacity = capacity ?? NO_ROOM
+    this.endpointIncarnation = incarnation
+    this.capacity = capacity ?? NO_CAPACITY
     if (service !== '') return
-    this.told = NO_ROOM
-    this.left = NO_ROOM
+    this.reportedFree = NO_CAPACITY
+    this.remaining = NO_CAPACITY
   }
 
   /** A start was sent. */
   reserve (need: Resources): void {
-    this.unseen.push(need)
-    this.left = subtract(this.left, need)
+    this.unseenNeeds.push(need)
+    this.remaining = subtract(this.remaining, need)
   }
 }
--- a/packages/coordination/src/leased/leasedDispatcher.ts
+++ b/packages/coordination/src/leased/leasedDispatcher.ts
@@ -3,7 +3,7 @@
 import { REASONS, RevokeSchema, TASK_OUTCOMES } from '@hazellift/protocol'
 import type { Reason, TaskResult } from '@hazellift/protocol'
 import { findStragglers } from './findStragglers.js'
-import { findHopeless, findRefusal } from './leasedAdmission.js'
+import { findJobsToShed, findRefusal } from './leasedAdmission.js'
 import type { LeasedAgent, SentRun } from './leasedAgent.js'
 import type { LeasedDispatcherOptions } from './leasedDispatcherOptions.js'
 import { LeasedFleet } from './leasedFleet.js'
@@ -17,11 +17,11 @@
 /** Scale of run times in the health records, which compare them with the expected ones. */
 const EXPECTED_SCALE_MS = 100
 /** A process that has just started does not know its agents yet; after an outage of all they take about two seconds. */
-const JOIN_MS = 3000
+const DISCOVERY_MS = 3000
 /** Pause before a task is sent again that an earlier entry's order still holds. */
-const DUPLICATE_PAUSE_MS = 150
+const DUPLICATE_RETRY_MS = 150
 /** Reasons after which a start has a better chance elsewhere. */
-const TURNED_AWAY: ReadonlySet<string> = new Set([REASONS.endpointBusy, REASONS.endpointRefused, REASONS.orderUnanswered])
+const RETRY_ELSEWHERE_REASONS: ReadonlySet<string> = new Set([REASONS.endpointBusy, REASONS.endpointRefused, REASONS.orderUnanswered])
 
 /**
  * Jobs of one entry that are not kept, and the orders it has sent.
@@ -95,17 +95,17 @@
   submit (spec: LeasedJobSpec, onEnd: (end: LeasedJobEnd) => void): LeasedJob {
     const { clock } = this.options
     const job = createLeasedJob(spec, clock.now(), this.expectedMs(spec), onEnd)
-    this.fleet.serviceOf(job.service).load.onAsked(job.priority, workLeft(job))
-    const refusal = this.suspects.endOf(job) ?? (this.isJoining ? undefined : findRefusal(job, this.fleet, this.fleet.loadOf(job.service), this.fleet.policy))
-    if (refusal === undefined) this.take(job)
+    this.fleet.serviceOf(job.service).load.onArrived(job.priority, workLeft(job))
+    const refusal = this.suspects.endOf(job) ?? (this.isDiscovering ? undefined : findRefusal(job, this.fleet, this.fleet.loadOf(job.service), this.fleet.policy))
+    if (refusal === undefined) this.enqueue(job)
     else this.finish(job, refusal)
     return job
   }
 
-  private take (job: LeasedJob): void {
+  private enqueue (job: LeasedJob): void {
     this.jobs.set(job.key, job)
     const { queue, load } = this.fleet.serviceOf(job.service)
-    load.onTaken(job.priority, workLeft(job))
+    load.onAdmitted(job.priority, workLeft(job))
     queue.add(job)
     this.sender.schedule(job.service)
   }
@@ -121,14 +121,14 @@
     const now = this.options.clock.now()
     this.sessions.sweep(now)
     for (const job of [...this.jobs.values()]) this.checkDeadline(job, now)
-    for (const service of this.fleet.services.keys()) this.giveUp(service, now)
+    for (const service of this.fleet.services.keys()) this.shed(service, now)
     this.moveStragglers(now)
     this.sender.scheduleAll()
   }
 
   /** True while a job may wait for endpoints that this process does not know yet. */
-  private get isJoining (): boolean {
-    return !this.sessions.hasSeenEndpoint && this.options.clock.now() - this.startedAt < JOIN_MS
+  private get isDiscovering (): boolean {
+    return !this.sessions.hasSeenEndpoint && this.options.clock.now() - this.startedAt < DISCOVERY_MS
   }
 
   private onResult (agent: LeasedAgent, sent: SentRun, result: TaskResult): void {
@@ -143,38 +143,38 @@
     const ratio = runMs / Math.max(1, this.runTimes.expect(job.kind, job.estimateMs))
     this.fleet.healthOf(agent)?.succeeded(agent.agentId, ratio * EXPECTED_SCALE_MS)
     this.runTimes.observe(job.kind, job.estimateMs, runMs)
-    job.unproved--
+    job.unterminatedRuns--
     job.longestRunMs = Math.max(job.longestRunMs, runMs)
     job.tasks[index]!.state = LEASED_TASK_STATES.done
     job.doneCount++
     if (job.doneCount === job.count) this.finish(job, { type: 'complete' })
-    this.forgetIfOver(job)
+    this.forgetIfTerminated(job)
   }
 
   private onNotStarted (agent: LeasedAgent, { job, index }: SentRun, reason: Reason): void {
-    if (TURNED_AWAY.has(reason)) {
+    if (RETRY_ELSEWHERE_REASONS.has(reason)) {
       this.fleet.healthOf(agent)?.failed(agent.agentId)
-      job.tasks[index]!.avoid.add(agent.agentId)
+      job.tasks[index]!.avoidedAgents.add(agent.agentId)
     }
     job.mayHaveRun--
     this.fleet.serviceOf(job.service).load.onStarted(job.priority, -job.need.cpuMilli * job.expectedMs)
     if (reason !== REASONS.duplicateStart) return this.requeue(agent, job, index, reason)
     // An earlier entry's run of this task is not over yet; nowhere may another one begin.
-    this.options.clock.after(DUPLICATE_PAUSE_MS, () => this.requeue(agent, job, index, reason))
+    this.options.clock.after(DUPLICATE_RETRY_MS, () => this.requeue(agent, job, index, reason))
   }
 
   private onFailed (agent: LeasedAgent, sent: SentRun, reason: Reason): void {
     const { job, index } = sent
     const task = job.tasks[index]!
     task.attempt++
-    if (task.isMoving) task.avoid.add(agent.agentId)
+    if (task.isMoving) task.avoidedAgents.add(agent.agentId)
     const end = this.suspects.onFailed(agent, sent, reason)
     if (end !== undefined) this.finish(job, end)
     // Of other ends neither the task nor its endpoint is at fault.
     if (reason !== REASONS.endpointError) return this.requeue(agent, job, index, reason)
     this.fleet.healthOf(agent)?.failed(agent.agentId)
     task.failures++
-    task.avoid.add(agent.agentId)
+    task.avoidedAgents.add(agent.agentId)
     if (task.failures >= job.attempts && job.end === undefined) {
       this.finish(job, { type: 'failed', reason: REASONS.taskFailed, message: `task ${index} failed ${task.failures} times` })
     }
@@ -184,10 +184,10 @@
   /** An order is over and its task is not done. */
   private requeue (agent: LeasedAgent, job: LeasedJob, index: number, reason: Reason): void {
     const task = job.tasks[index]!
-    job.unproved--
+    job.unterminatedRuns--
     task.state = LEASED_TASK_STATES.queued
     task.isMoving = false
-    if (job.end !== undefined) return this.forgetIfOver(job)
+    if (job.end !== undefined) return this.forgetIfTerminated(job)
     this.options.events.requeued(job, index, agent.agentId, reason)
     job.queue.push(index)
     this.fleet.serviceOf(job.service).queue.add(job)
@@ -204,12 +204,12 @@
   }
 
   /** Refuses what waits and will not begin in time, by what is ahead of it now. */
-  private giveUp (service: string, now: number): void {
+  private shed (service: string, now: number): void {
     const { queue, load } = this.fleet.serviceOf(service)
-    load.onLook(queue.size > 0)
+    load.recordWaiting(queue.size > 0)
     if (queue.size === 0) return
     const view = this.fleet.loadOf(service)
-    for (const { job, end } of findHopeless(queue.inOrder(now, view), now, view, this.fleet.policy)) this.finish(job, end)
+    for (const { job, end } of findJobsToShed(queue.inOrder(now, view), now, view, this.fleet.policy)) this.finish(job, end)
   }
 
   /** Stops runs that take far longer than others of their kind, so that they can run elsewhere. */
@@ -237,7 +237,7 @@
     if (end.type === 'failed') this.revokeAll(job)
     this.options.events.ended(job, end)
     job.onEnd(end)
-    this.forgetIfOver(job)
+    this.forgetIfTerminated(job)
   }
 
   private revokeAll (job: LeasedJob): void {
@@ -246,10 +246,10 @@
     }
   }
 
-  private forgetIfOver (job: LeasedJob): void {
-    if (job.end === undefined || job.unproved > 0) return
+  private forgetIfTerminated (job: LeasedJob): void {
+    if (job.end === undefined || job.unterminatedRuns > 0) return
     if (this.jobs.get(job.key) === job) this.jobs.delete(job.key)
-    job.onOver?.()
-    job.onOver = undefined
+    job.onTerminated?.()
+    job.onTerminated = undefined
   }
 }
--- a/packages/coordination/src/leased/leasedDispatcherOptions.ts
+++ b/packages/coordination/src/leased/leasedDispatcherOptions.ts
@@ -11,7 +11,7 @@
 export interface LeasedDispatchEvents extends LeasedSessionEvents {
   ended: (job: LeasedJob, end: LeasedJobEnd) => void
   /** Starts went out. */
-  sent: (job: LeasedJob, agentId: string, tasks: number[], room: Resources) => void
+  sent: (job: LeasedJob, agentId: string, tasks: number[], freeCapacity: Resources) => void
   /** A run that takes too long is being stopped, to run elsewhere. */
   moved: (job: LeasedJob, index: number, agentId: string, runMs: number) => void
   /** A task waits again. */
--- a/packages/coordination/src/leased/leasedFleet.ts
+++ b/packages/coordination/src/leased/leasedFleet.ts
@@ -3,7 +3,7 @@
 import type { LoadView, PlaceContext, Policy } from '@hazellift/decisions'
 import { EndpointHealth } from '../health/endpointHealth.js'
 import { EvacuationList } from './evacuationList.js'
-import { HeldEchoes } from './heldEchoes.js'
+import { EchoLimits } from './echoLimits.js'
 import type { LeasedAgent } from './leasedAgent.js'
 import type { LeasedJob } from './leasedJob.js'
 import { LeasedQueue } from './leasedQueue.js'
@@ -14,11 +14,11 @@
   queue: LeasedQueue
   load: LoadRecord
   health: EndpointHealth
-  isPumpDue: boolean
+  isSendScheduled: boolean
   /** When agents were asked for room last. */
-  askedAt: number
+  capacityRequestedAt: number
   /** The load as it was worked out last. */
-  view: { load: LoadView, at: number } | undefined
+  cachedLoad: { load: LoadView, calculatedAt: number } | undefined
 }
 
 /** What the fleet needs. */
@@ -26,23 +26,23 @@
   clock: Clock
   random: Random
   zone: string
-  setAsideShare: number
-  setAsideBackoff: (times: number) => number
+  maxEjectedShare: number
+  ejectionBackoff: (times: number) => number
   /** Decisions in place of the product's, for measurements. */
   policy?: Policy
 }
 
 /** While endpoints join one by one, as after an outage, an entry does not know what it serves: so long after the latest, nothing is forecast. */
-const LEARN_MS = 300
+const LEARNING_MS = 300
 /** The load is worked out anew after so long: under overload each frame to an agent rests on it. */
-const LOAD_AGE_MS = 10
+const MAX_LOAD_AGE_MS = 10
 
 const hasSuspect = ({ sent }: LeasedAgent): boolean => [...sent.values()].some(({ job, index }) => job.tasks[index]!.isSuspect)
 
 /** Limits of a choice. */
 export interface ChooseOptions {
   except?: LeasedAgent
-  near?: LeasedAgent | undefined
+  preferred?: LeasedAgent | undefined
 }
 
 /** Agents that an entry knows, and where among them a task goes. */
@@ -54,17 +54,17 @@
   readonly evacuations = new EvacuationList()
 
   /** Which stamps agents are echoed while jobs of other entries run here. */
-  readonly echoes = new HeldEchoes()
+  readonly echoLimits = new EchoLimits()
 
   /** When the latest endpoint was heard of. */
-  private joinedAt = -Infinity
+  private endpointsChangedAt = -Infinity
 
   constructor (private readonly options: LeasedFleetOptions) {}
 
   /** Endpoints were heard of, or may be used again. */
-  onJoined (): void {
-    this.joinedAt = this.options.clock.now()
-    for (const service of this.services.values()) service.view = undefined
+  onEndpointsChanged (): void {
+    this.endpointsChangedAt = this.options.clock.now()
+    for (const service of this.services.values()) service.cachedLoad = undefined
   }
 
   /** The decisions. */
@@ -82,10 +82,10 @@
   serviceOf (name: string): LeasedService {
     const known = this.services.get(name)
     if (known !== undefined) return known
-    const { clock, setAsideShare, setAsideBackoff } = this.options
+    const { clock, maxEjectedShare, ejectionBackoff } = this.options
     const { order, setAside } = this.policy
-    const health = new EndpointHealth({ now: clock.now, maxShare: setAsideShare, backoff: setAsideBackoff, setAside })
-    const service = { queue: new LeasedQueue(order), load: new LoadRecord(clock.now), health, isPumpDue: false, askedAt: -Infinity, view: undefined }
+    const health = new EndpointHealth({ now: clock.now, maxShare: maxEjectedShare, backoff: ejectionBackoff, setAside })
+    const service = { queue: new LeasedQueue(order), load: new LoadRecord(clock.now), health, isSendScheduled: false, capacityRequestedAt: -Infinity, cachedLoad: undefined }
     this.services.set(name, service)
     return service
   }
@@ -127,24 +127,24 @@
   loadOf (name: string): LoadView {
     const service = this.serviceOf(name)
     const now = this.options.clock.now()
-    if (service.view === undefined || now - service.view.at > LOAD_AGE_MS) service.view = { load: this.workOutLoad(name), at: now }
-    return service.view.load
+    if (service.cachedLoad === undefined || now - service.cachedLoad.calculatedAt > MAX_LOAD_AGE_MS) service.cachedLoad = { load: this.calculateLoad(name), calculatedAt: now }
+    return service.cachedLoad.load
   }
 
-  private workOutLoad (service: string): LoadView {
+  private calculateLoad (service: string): LoadView {
     const { load } = this.serviceOf(service)
     // Each endpoint is shared by the entries that its agent has sessions with.
     const shareMilli = this.agentsOf(service).reduce((sum, { capacity, entryCount }) => sum + capacity.cpuMilli / entryCount, 0)
-    const isLearning = this.options.clock.now() - this.joinedAt < LEARN_MS || shareMilli === 0
-    const partMilli = isLearning ? Infinity : Math.max(this.runningMilli(service), shareMilli)
-    const servedMilli = load.servedMilli(partMilli)
+    const isLearning = this.options.clock.now() - this.endpointsChangedAt < LEARNING_MS || shareMilli === 0
+    const expectedMilli = isLearning ? Infinity : Math.max(this.runningMilli(service), shareMilli)
+    const servedMilli = load.servedMilli(expectedMilli)
     return { servedMilli, queues: this.policy.shares(servedMilli, load.queues) }
   }
 
   /** The priority with which this entry wants room at the service's endpoints, if any task waits. */
-  wantingPriority (name: string): number | undefined {
+  demandPriority (name: string): number | undefined {
     const service = this.services.get(name)
-    return service === undefined || service.queue.size === 0 ? undefined : service.queue.wantingPriority(this.options.clock.now(), this.loadOf(name))
+    return service === undefined || service.queue.size === 0 ? undefined : service.queue.demandPriority(this.options.clock.now(), this.loadOf(name))
   }
 
   /**
@@ -152,20 +152,20 @@
    *
    * @param near - taken if it is among the best, as starts that travel together cost one message
    */
-  choose (job: LeasedJob, index: number, { except, near }: ChooseOptions = {}): LeasedAgent | undefined {
+  choose (job: LeasedJob, index: number, { except, preferred: near }: ChooseOptions = {}): LeasedAgent | undefined {
     const { zone, clock, random } = this.options
-    const { avoid, isSuspect } = job.tasks[index]!
+    const { avoidedAgents, isSuspect } = job.tasks[index]!
     const agents = this.agentsOf(job.service).filter((agent) => agent.isResumed && agent !== except)
-    const isAvoided = ({ agentId }: LeasedAgent): boolean => avoid.has(agentId)
+    const isAvoided = ({ agentId }: LeasedAgent): boolean => avoidedAgents.has(agentId)
     const context: PlaceContext<LeasedAgent> = {
       now: clock.now(),
       zone,
       random,
-      maySend: (agent) => this.healthOf(agent)?.maySend(agent.agentId) === true && this.echoes.mayStart(job, agent, clock.now()),
+      maySend: (agent) => this.healthOf(agent)?.maySend(agent.agentId) === true && this.echoLimits.mayStart(job, agent, clock.now()),
       isAvoided,
       near
     }
-    const calm = isSuspect ? this.policy.place(calmest(agents, job.need, { isAvoided, hasSuspect }), job, context) : undefined
-    return calm ?? this.policy.place(agents, job, context)
+    const leastLoadedAgent = isSuspect ? this.policy.place(calmest(agents, job.need, { isAvoided, hasSuspect }), job, context) : undefined
+    return leastLoadedAgent ?? this.policy.place(agents, job, context)
   }
 }
--- a/packages/coordination/src/leased/leasedJobs.ts
+++ b/packages/coordination/src/leased/leasedJobs.ts
@@ -21,7 +21,7 @@
   callers: number
 }
 
-interface Remembered {
+interface RecentAnswer {
   end: LeasedJobEnd
   at: number
 }
@@ -39,7 +39,7 @@
  */
 export class LeasedJobs {
   private readonly open = new Map<string, OpenJob>()
-  private readonly answers = new Map<string, Remembered>()
+  private readonly recentAnswers = new Map<string, RecentAnswer>()
 
   constructor (private readonly clock: Clock, private readonly dispatcher: JobDispatcher) {}
 
@@ -51,12 +51,12 @@
   /** Submits a job, or attaches to it. */
   submit (spec: LeasedJobSpec): Attachment {
     const key = submissionKey(spec.workspace, spec.id)
-    const remembered = this.answerOf(key)
-    if (remembered !== undefined) return { end: Promise.resolve(remembered), leave: () => {} }
+    const recent = this.answerOf(key)
+    if (recent !== undefined) return { end: Promise.resolve(recent), leave: () => {} }
     const known = this.open.get(key)
     if (known !== undefined) return this.attach(known)
-    const stopping = this.dispatcher.find(key)
-    if (stopping !== undefined) return this.submitOnceOver(spec, stopping)
+    const stoppingJob = this.dispatcher.find(key)
+    if (stoppingJob !== undefined) return this.submitOnceTerminated(spec, stoppingJob)
     return this.begin(spec, key)
   }
 
@@ -84,12 +84,12 @@
   }
 
   private begin (spec: LeasedJobSpec, key: string): Attachment {
-    let tell: (end: LeasedJobEnd) => void = () => {}
-    const end = new Promise<LeasedJobEnd>((resolve) => { tell = resolve })
+    let resolveEnd: (end: LeasedJobEnd) => void = () => {}
+    const end = new Promise<LeasedJobEnd>((resolve) => { resolveEnd = resolve })
     const job = this.dispatcher.submit(spec, (value) => {
       this.open.delete(key)
       this.remember(key, value)
-      tell(value)
+      resolveEnd(value)
     })
     const open = { job, end, callers: 0 }
     if (job.end === undefined) this.open.set(key, open)
@@ -110,17 +110,17 @@
     }
   }
 
-  private submitOnceOver (spec: LeasedJobSpec, stopping: LeasedJob): Attachment {
+  private submitOnceTerminated (spec: LeasedJobSpec, stoppingJob: LeasedJob): Attachment {
     let hasLeft = false
     let attachment: Attachment | undefined
-    const over = new Promise<void>((resolve) => {
-      const before = stopping.onOver
-      stopping.onOver = () => {
-        before?.()
+    const terminated = new Promise<void>((resolve) => {
+      const previous = stoppingJob.onTerminated
+      stoppingJob.onTerminated = () => {
+        previous?.()
         resolve()
       }
     })
-    const end = over.then((): Promise<LeasedJobEnd> => {
+    const end = terminated.then((): Promise<LeasedJobEnd> => {
       attachment = this.submit(spec)
       if (hasLeft) attachment.leave()
       return attachment.end
@@ -138,18 +138,18 @@
   private remember (key: string, end: LeasedJobEnd): void {
     const isFinal = end.type === 'complete' || (end.type === 'failed' && FINAL_FAILURES.has(end.reason))
     if (!isFinal) return
-    this.answers.delete(key)
-    this.answers.set(key, { end, at: this.clock.now() })
-    const oldest = this.clock.now() - ANSWER_WINDOW_MS
-    for (const [other, { at }] of this.answers) {
-      if (at >= oldest && this.answers.size <= MAX_ANSWERS) break
-      this.answers.delete(other)
+    this.recentAnswers.delete(key)
+    this.recentAnswers.set(key, { end, at: this.clock.now() })
+    const cutoff = this.clock.now() - ANSWER_WINDOW_MS
+    for (const [other, { at }] of this.recentAnswers) {
+      if (at >= cutoff && this.recentAnswers.size <= MAX_ANSWERS) break
+      this.recentAnswers.delete(other)
     }
   }
 
   private answerOf (key: string): LeasedJobEnd | undefined {
-    const remembered = this.answers.get(key)
-    const isFresh = remembered !== undefined && this.clock.now() - remembered.at <= ANSWER_WINDOW_MS
-    return isFresh ? remembered.end : undefined
+    const recent = this.recentAnswers.get(key)
+    const isFresh = recent !== undefined && this.clock.now() - recent.at <= ANSWER_WINDOW_MS
+    return isFresh ? recent.end : undefined
   }
 }
--- a/packages/coordination/src/leased/leasedQueue.ts
+++ b/packages/coordination/src/leased/leasedQueue.ts
@@ -18,7 +18,7 @@
   }
 
   /** The priority with which the first job competes for room with those of other entries; undefined if none waits. */
-  wantingPriority (now: number, { queues }: LoadView): number | undefined {
+  demandPriority (now: number, { queues }: LoadView): number | undefined {
     const priorityOf = offeredPriority(queues)
     let first: number | undefined
     for (const job of this.jobs) {
--- a/packages/coordination/src/leased/leasedSender.ts
+++ b/packages/coordination/src/leased/leasedSender.ts
@@ -16,11 +16,11 @@
   /** Runs `fn` after the events that are ready now. */
   defer: (fn: () => void) => void
   /** Starts went out. */
-  onSent: (job: LeasedJob, agentId: string, tasks: number[], room: Resources) => void
+  onSent: (job: LeasedJob, agentId: string, tasks: number[], freeCapacity: Resources) => void
 }
 
 /** How long a start may wait at its agent for room that other entries' tasks took meanwhile. */
-const AGENT_WAIT_MS = 20
+const MAX_AGENT_WAIT_MS = 20
 
 /**
  * Agents that are asked for room at once, and the pause before the next ones. A
@@ -28,8 +28,8 @@
  * agent and back: 12.5 frames a task instead of 13.9, worth 0.985 instead of
  * 0.977. Emulated: 12 entries, 55 endpoints at 0.93 of their capacity, 6 seeds.
  */
-const ASK_STEP = 6
-const ASK_PACE_MS = 10
+const REQUEST_BATCH = 6
+const REQUEST_INTERVAL_MS = 10
 
 /** Sends what waits at an entry to agents that have told room, in the queue's order. */
 export class LeasedSender {
@@ -39,11 +39,11 @@
   schedule (name: string): void {
     const { fleet, defer } = this.options
     const service = fleet.serviceOf(name)
-    if (service.isPumpDue || service.queue.size === 0) return
-    service.isPumpDue = true
+    if (service.isSendScheduled || service.queue.size === 0) return
+    service.isSendScheduled = true
     defer(() => {
-      service.isPumpDue = false
-      this.pump(name, service)
+      service.isSendScheduled = false
+      this.sendWaiting(name, service)
     })
   }
 
@@ -52,26 +52,26 @@
     for (const service of this.options.fleet.services.keys()) this.schedule(service)
   }
 
-  private pump (name: string, service: LeasedService): void {
+  private sendWaiting (name: string, service: LeasedService): void {
     const { queue } = service
     for (const job of queue.inOrder(this.options.clock.now(), this.options.fleet.loadOf(name))) {
       if (this.place(job)) queue.remove(job)
       // A job of another entry may wait for that entry's sign of life; this one's own do not wait behind it.
-      else if (job.sponsor === undefined) break
+      else if (job.originEntry === undefined) break
     }
-    if (queue.size > 0) this.askForRoom(name, service)
+    if (queue.size > 0) this.requestCapacity(name, service)
   }
 
   /** Some agents that do not know yet that tasks wait here are told; more of them as long as tasks wait. */
-  private askForRoom (name: string, service: LeasedService): void {
+  private requestCapacity (name: string, service: LeasedService): void {
     const { fleet, clock, random } = this.options
-    if (clock.now() - service.askedAt < ASK_PACE_MS) return
-    service.askedAt = clock.now()
-    const unasked = fleet.agentsOf(name).filter(({ knowsWanting }) => !knowsWanting)
+    if (clock.now() - service.capacityRequestedAt < REQUEST_INTERVAL_MS) return
+    service.capacityRequestedAt = clock.now()
+    const uninformed = fleet.agentsOf(name).filter(({ knowsDemand }) => !knowsDemand)
     // From a random one on: entries that run short together ask different agents.
-    const from = Math.floor(random() * unasked.length)
-    const asked = [...unasked.slice(from), ...unasked.slice(0, from)].slice(0, ASK_STEP)
-    for (const { link } of asked) link?.add(() => {})
+    const first = Math.floor(random() * uninformed.length)
+    const recipients = [...uninformed.slice(first), ...uninformed.slice(0, first)].slice(0, REQUEST_BATCH)
+    for (const { link } of recipients) link?.add(() => {})
   }
 
   /**
@@ -81,12 +81,12 @@
    */
   private place (job: LeasedJob): boolean {
     const placed = new Map<LeasedAgent, number[]>()
-    let near: LeasedAgent | undefined
+    let preferred: LeasedAgent | undefined
     while (job.queue.length > 0) {
       const index = job.queue.at(-1)!
-      const agent = this.options.fleet.choose(job, index, { near })
+      const agent = this.options.fleet.choose(job, index, { preferred })
       if (agent === undefined) break
-      near = agent
+      preferred = agent
       job.queue.pop()
       agent.reserve(job.need)
       placed.set(agent, [...placed.get(agent) ?? [], index])
@@ -100,7 +100,7 @@
     const { workspace, id, payload, need } = job
     const tasks = indexes.map((index) => create(LeasedTaskSchema, { index, attempt: job.tasks[index]!.attempt }))
     const start = create(LeasedStartSchema, {
-      workspace, submission: id, payload, tasks, need: create(RoomSchema, need), waitMs: AGENT_WAIT_MS, expectedMs: Math.round(job.expectedMs)
+      workspace, submission: id, payload, tasks, need: create(RoomSchema, need), waitMs: MAX_AGENT_WAIT_MS, expectedMs: Math.round(job.expectedMs)
     })
     this.options.onSent(job, agent.agentId, indexes, agent.room)
     agent.link!.add((frame) => { frame.leasedStarts.push(start) })
@@ -113,9 +113,9 @@
     const { workspace, id } = job
     const key = taskKey(create(TaskKeySchema, { workspace, submission: id, task: index, attempt: task.attempt }))
     task.state = LEASED_TASK_STATES.sent
-    job.unproved++
+    job.unterminatedRuns++
     job.mayHaveRun++
-    agent.sent.set(key, { job, index, attempt: task.attempt, sentAt: clock.now(), life: agent.endpoint })
+    agent.sent.set(key, { job, index, attempt: task.attempt, sentAt: clock.now(), endpointIncarnation: agent.endpointIncarnation })
     fleet.healthOf(agent)?.sent(agent.agentId)
     fleet.serviceOf(job.service).load.onStarted(job.priority, job.need.cpuMilli * job.expectedMs)
   }
--- a/packages/coordination/src/leased/leasedSessions.ts
+++ b/packages/coordination/src/leased/leasedSessions.ts
@@ -42,7 +42,7 @@
 }
 
 /** Frames of an agent are echoed no more often than this; at most so long and a keep-alive lie between two echoes. */
-const ECHO_PACE_MS = 140
+const ECHO_INTERVAL_MS = 140
 
 /**
  * An entry's side of its sessions with agents: what they tell, what they are
@@ -50,11 +50,11 @@
  */
 export class LeasedSessions implements SessionDispatcher<LeasedAgent> {
   /** Processes of agents that another one has replaced, until their orders are over. */
-  private readonly replaced = new Set<LeasedAgent>()
+  private readonly replacedAgents = new Set<LeasedAgent>()
   private readonly config: ConfigExchange
   private readonly evacuations: EvacuationExchange
   private readonly watch: SuspensionWatch
-  private hasEndpoints = false
+  private hasEndpoint = false
 
   constructor (private readonly options: LeasedSessionsOptions) {
     const { clock, fleet, events } = options
@@ -75,7 +75,7 @@
 
   /** True once any endpoint was heard of. */
   get hasSeenEndpoint (): boolean {
-    return this.hasEndpoints
+    return this.hasEndpoint
   }
 
   /** A configuration document came into force here; some agents keep it for other entries. */
@@ -84,8 +84,8 @@
   }
 
   /** The operator's store may hold a newer document than it showed this entry. */
-  setConfigDoubt (isDoubted: boolean): void {
-    this.config.setDoubt(isDoubted)
+  setConfigUnconfirmed (isUnconfirmed: boolean): void {
+    this.config.setUnconfirmed(isUnconfirmed)
   }
 
   /** The operator's list of evacuated zones was read; agents hear of it, and those without a store through them. */
@@ -101,7 +101,7 @@
   /** Ends what was sent to agents that have been silent for so long that nothing of it runs. */
   sweep (now: number): void {
     this.watch.look()
-    for (const agent of [...this.options.fleet.agents.values(), ...this.replaced]) this.checkLost(agent, now)
+    for (const agent of [...this.options.fleet.agents.values(), ...this.replacedAgents]) this.checkLost(agent, now)
     this.config.sweep(now)
   }
 
@@ -126,11 +126,11 @@
   stamp (agent: LeasedAgent, frame: EntryFrame): void {
     const { fleet, clock } = this.options
     this.watch.look()
-    frame.echoStampMs = fleet.echoes.echo(agent, clock.now())
-    this.config.stamp(agent, frame)
-    this.evacuations.stamp(agent, frame)
-    frame.wantingPriority = fleet.wantingPriority(agent.service)
-    agent.knowsWanting = frame.wantingPriority !== undefined
+    frame.echoStampMs = fleet.echoLimits.stampToEcho(agent, clock.now())
+    this.config.fillFrame(agent, frame)
+    this.evacuations.fillFrame(agent, frame)
+    frame.wantingPriority = fleet.demandPriority(agent.service)
+    agent.knowsDemand = frame.wantingPriority !== undefined
     agent.echoedAt = clock.now()
   }
 
@@ -146,7 +146,7 @@
     if (agent.link !== link) return
     agent.stampMs = frame.stampMs
     agent.heardAt = now
-    this.options.fleet.echoes.onStamp(agent, now)
+    this.options.fleet.echoLimits.onStamp(agent, now)
     if (frame.slowness > 0) agent.slowness = frame.slowness
     agent.entryCount = Math.max(1, frame.entries)
     this.evacuations.onFrame(agent, frame)
@@ -155,8 +155,8 @@
     else if (frame.leaving) this.onLeaving(agent)
     if (frame.resume !== undefined) this.onResume(agent, frame.resume.held.map(taskKey))
     for (const result of frame.results) this.onResult(agent, result)
-    if (frame.room !== undefined) agent.setRoom(frame.room)
-    if (this.owesFrame(agent, now)) link.add(() => {})
+    if (frame.room !== undefined) agent.setFreeCapacity(frame.room)
+    if (this.isFrameDue(agent, now)) link.add(() => {})
     if (agent.service !== '') this.options.schedule(agent.service)
   }
 
@@ -164,33 +164,33 @@
    * Only tasks that were sent need their authority renewed, as a start renews
    * it by itself; and an agent that offers room in vain must know.
    */
-  private owesFrame ({ sent, echoedAt, knowsWanting, service }: LeasedAgent, now: number): boolean {
-    const wantsNoMore = knowsWanting && this.options.fleet.services.get(service)?.queue.size === 0
-    return wantsNoMore || (sent.size > 0 && now - echoedAt >= ECHO_PACE_MS)
+  private isFrameDue ({ sent, echoedAt, knowsDemand, service }: LeasedAgent, now: number): boolean {
+    const hasDemandEnded = knowsDemand && this.options.fleet.services.get(service)?.queue.size === 0
+    return hasDemandEnded || (sent.size > 0 && now - echoedAt >= ECHO_INTERVAL_MS)
   }
 
   private onEvacuations (origin: EvacuationOrigin): void {
     const { fleet, events, schedule } = this.options
     events.evacuationsChanged(fleet.evacuations.zones, fleet.evacuations.version, origin)
     // What was served so far says nothing of the capacity that is left, or back.
-    fleet.onJoined()
+    fleet.onEndpointsChanged()
     for (const service of fleet.services.keys()) schedule(service)
   }
 
   private onEndpoint (agent: LeasedAgent, { endpoint, leaving }: AgentFrame): void {
     const { fleet, events } = this.options
     // What was learned of a life, and whether it is new here, does not change with its capacity.
-    if (agent.isSameLife(endpoint!)) return this.onCapacity(agent, endpoint!, leaving)
+    if (agent.isSameIncarnation(endpoint!)) return this.onCapacity(agent, endpoint!, leaving)
     fleet.healthOf(agent)?.remove(agent.agentId)
     agent.setEndpoint(endpoint!)
     agent.isLeaving = leaving
     events.agentChanged(agent, 'endpoint')
     if (agent.service === '') return
-    this.hasEndpoints = true
-    fleet.onJoined()
+    this.hasEndpoint = true
+    fleet.onEndpointsChanged()
     fleet.serviceOf(agent.service).health.add(agent.agentId)
     // Its endpoint has shown that nothing of an earlier process of the agent runs any more.
-    for (const earlier of [...this.replaced]) if (earlier.agentId === agent.agentId) this.lose(earlier, REASONS.agentLost)
+    for (const earlier of [...this.replacedAgents]) if (earlier.agentId === agent.agentId) this.loseRuns(earlier, REASONS.agentLost)
   }
 
   private onCapacity (agent: LeasedAgent, endpoint: EndpointState, leaving: boolean): void {
@@ -205,11 +205,11 @@
   }
 
   /** A start that the agent does not hold was never accepted: the earlier session ended before this one began. */
-  private onResume (agent: LeasedAgent, held: string[]): void {
+  private onResume (agent: LeasedAgent, known: string[]): void {
     agent.isResumed = true
-    const heldKeys = new Set(held)
+    const knownKeys = new Set(known)
     for (const [key, sent] of [...agent.sent]) {
-      if (heldKeys.has(key)) continue
+      if (knownKeys.has(key)) continue
       agent.sent.delete(key)
       this.options.onNotStarted(agent, sent, REASONS.lostStart)
     }
@@ -230,7 +230,7 @@
     agent.link = undefined
     fleet.agents.delete(agent.agentId)
     fleet.healthOf(agent)?.remove(agent.agentId)
-    if (agent.sent.size > 0) this.replaced.add(agent)
+    if (agent.sent.size > 0) this.replacedAgents.add(agent)
   }
 
   private checkLost (agent: LeasedAgent, now: number): void {
@@ -242,7 +242,7 @@
       // On this session its agent must hear nothing more that would let them run on.
       this.endSession(agent)
     }
-    this.lose(agent, REASONS.agentLost)
+    this.loseRuns(agent, REASONS.agentLost)
     if (agent.link === undefined && fleet.agents.get(agent.agentId) === agent) this.replace(agent)
   }
 
@@ -266,10 +266,10 @@
   }
 
   /** Nothing that was sent to this process of the agent can run any more. */
-  private lose (agent: LeasedAgent, reason: Reason): void {
-    this.replaced.delete(agent)
-    const lost = [...agent.sent.values()]
+  private loseRuns (agent: LeasedAgent, reason: Reason): void {
+    this.replacedAgents.delete(agent)
+    const runs = [...agent.sent.values()]
     agent.sent.clear()
-    for (const sent of lost) this.options.onLost(agent, sent, reason)
+    for (const sent of runs) this.options.onLost(agent, sent, reason)
   }
 }
--- a/packages/coordination/src/leased/loadRecord.ts
+++ b/packages/coordination/src/leased/loadRecord.ts
@@ -1,12 +1,12 @@
 import type { QueueLoad } from '@hazellift/decisions'
 
 /** Time over which load is remembered, by half in 0.7 of it: bursts last for seconds, and a queue for less. */
-const MEMORY_MS = 1000
+const DECAY_MS = 1000
 /** What is expected counts like so much time under load: an entry that got no room for a moment is not starved for good. */
 const PRIOR_MS = 300
 
 /** A sum that fades. */
-class Fading {
+class DecayingSum {
   private sum = 0
   private at = 0
 
@@ -16,60 +16,60 @@
   }
 
   read (now: number): number {
-    return this.sum * Math.exp((this.at - now) / MEMORY_MS)
+    return this.sum * Math.exp((this.at - now) / DECAY_MS)
   }
 }
 
 /** Work of one queue. */
 class QueueRecord {
-  readonly asked = new Fading()
-  readonly taken = new Fading()
-  readonly started = new Fading()
-  readonly lost = new Fading()
+  readonly arrived = new DecayingSum()
+  readonly admitted = new DecayingSum()
+  readonly started = new DecayingSum()
+  readonly refused = new DecayingSum()
 }
 
 /** Work that arrived at an entry, and work that it could start while some waited; in milli-cores times ms. */
 export class LoadRecord {
   private readonly records = new Map<number, QueueRecord>()
-  private startedWork = 0
-  private busyMs = 0
-  private readAt = 0
+  private startedWhileWaiting = 0
+  private waitingMs = 0
+  private recordedAt = 0
   private wasWaiting = false
 
   constructor (private readonly now: () => number) {}
 
   /** A job has come. */
-  onAsked (priority: number, work: number): void {
-    this.recordOf(priority).asked.add(work, this.now())
+  onArrived (priority: number, work: number): void {
+    this.recordOf(priority).arrived.add(work, this.now())
   }
 
   /** It was taken on. */
-  onTaken (priority: number, work: number): void {
-    this.recordOf(priority).taken.add(work, this.now())
+  onAdmitted (priority: number, work: number): void {
+    this.recordOf(priority).admitted.add(work, this.now())
   }
 
   /** It was refused, on arrival or after a wait. */
   onRefused (priority: number, work: number): void {
-    this.recordOf(priority).lost.add(work, this.now())
+    this.recordOf(priority).refused.add(work, this.now())
   }
 
   /** Work was started, or came back unstarted if negative. */
   onStarted (priority: number, work: number): void {
     this.recordOf(priority).started.add(work, this.now())
-    if (this.wasWaiting) this.startedWork += work
+    if (this.wasWaiting) this.startedWhileWaiting += work
   }
 
   /** Looks at the queue; to be called a few tens of times a second. */
-  onLook (isWaiting: boolean): void {
+  recordWaiting (isWaiting: boolean): void {
     const now = this.now()
-    const passedMs = now - this.readAt
+    const passedMs = now - this.recordedAt
     if (this.wasWaiting) {
-      const kept = Math.exp(-passedMs / MEMORY_MS)
-      this.startedWork *= kept
-      this.busyMs = (this.busyMs + passedMs) * kept
+      const decay = Math.exp(-passedMs / DECAY_MS)
+      this.startedWhileWaiting *= decay
+      this.waitingMs = (this.waitingMs + passedMs) * decay
     }
     this.wasWaiting = isWaiting
-    this.readAt = now
+    this.recordedAt = now
   }
 
   /**
@@ -78,18 +78,18 @@
    * @param expectedMilli - before anything was seen; Infinity if nothing is known
    */
   servedMilli (expectedMilli: number): number {
-    return Math.max(1, (this.startedWork + expectedMilli * PRIOR_MS) / (this.busyMs + PRIOR_MS))
+    return Math.max(1, (this.startedWhileWaiting + expectedMilli * PRIOR_MS) / (this.waitingMs + PRIOR_MS))
   }
 
   /** The queues that asked lately. */
   get queues (): QueueLoad[] {
     const now = this.now()
-    return [...this.records].map(([priority, { asked, taken, started, lost }]) => ({
+    return [...this.records].map(([priority, { arrived, admitted, started, refused }]) => ({
       priority,
-      askedMilli: asked.read(now) / MEMORY_MS,
-      takenMilli: taken.read(now) / MEMORY_MS,
-      startedMilli: started.read(now) / MEMORY_MS,
-      refusedMilli: lost.read(now) / MEMORY_MS
+      askedMilli: arrived.read(now) / DECAY_MS,
+      takenMilli: admitted.read(now) / DECAY_MS,
+      startedMilli: started.read(now) / DECAY_MS,
+      refusedMilli: refused.read(now) / DECAY_MS
     }))
   }
 
--- a/packages/coordination/src/leased/runTimes.ts
+++ b/packages/coordination/src/leased/runTimes.ts
@@ -1,5 +1,5 @@
 /** Weight of the newest run in the average. */
-const WEIGHT = 0.05
+const NEWEST_WEIGHT = 0.05
 /** Assumed while nothing is known, in ms. */
 const ASSUMED_RUN_MS = 100
 
@@ -14,8 +14,8 @@
    * @param estimateMs - what the caller had guessed; 0 for none
    */
   observe (kind: string, estimateMs: number, runMs: number): void {
-    this.blend(this.means, kind, runMs)
-    if (estimateMs > 0) this.blend(this.ratios, kind, runMs / estimateMs)
+    this.updateAverage(this.means, kind, runMs)
+    if (estimateMs > 0) this.updateAverage(this.ratios, kind, runMs / estimateMs)
   }
 
   /** Expected run time in ms. */
@@ -24,8 +24,8 @@
     return estimateMs * (this.ratios.get(kind) ?? 1)
   }
 
-  private blend (averages: Map<string, number>, kind: string, value: number): void {
+  private updateAverage (averages: Map<string, number>, kind: string, value: number): void {
     const average = averages.get(kind)
-    averages.set(kind, average === undefined ? value : average + (value - average) * WEIGHT)
+    averages.set(kind, average === undefined ? value : average + (value - average) * NEWEST_WEIGHT)
   }
 }
--- a/packages/coordination/src/leased/suspects.ts
+++ b/packages/coordination/src/leased/suspects.ts
@@ -18,18 +18,18 @@
 }
 
 /** Told of a task under which an endpoint crashed, and of what follows. */
-export type OnSuspect = (job: LeasedJob, index: number, lives: string[], verdict: Verdict) => void
+export type OnSuspect = (job: LeasedJob, index: number, incarnations: string[], verdict: Verdict) => void
 
 /** Crashes that lie no further apart may have one cause. */
-const TOGETHER_MS = 1000
+const SAME_CAUSE_MS = 1000
 /** A job that is submitted again within this time is the same to us, whatever became of it. */
 const MEMORY_MS = 60_000
 const MAX_TASKS = 5000
 const MAX_CRASHES = 2000
 
-const LOSSES: ReadonlySet<Reason> = new Set([REASONS.endpointCrashed, REASONS.endpointReset])
+const LOSS_REASONS: ReadonlySet<Reason> = new Set([REASONS.endpointCrashed, REASONS.endpointReset])
 
-const nameOf = (job: Pick<LeasedJob, 'key'>, index: number): string => `${job.key}/${index}`
+const taskName = (job: Pick<LeasedJob, 'key'>, index: number): string => `${job.key}/${index}`
 
 /**
  * Tasks of one entry under which endpoints were lost. What is known of a task
@@ -46,7 +46,7 @@
     if (this.losses.size === 0) return undefined
     for (const index of job.tasks.keys()) {
       job.tasks[index]!.isSuspect = this.judge(job, index) === 'suspect'
-      if (this.judge(job, index) === 'give_up') return this.giveUp(job, index)
+      if (this.judge(job, index) === 'give_up') return this.failureOf(job, index)
     }
     return undefined
   }
@@ -56,21 +56,21 @@
    *
    * @returns how its job ends, if its task is not to be started again
    */
-  onFailed ({ agentId }: LeasedAgent, { job, index, life }: SentRun, reason: Reason): LeasedJobEnd | undefined {
-    if (!LOSSES.has(reason)) return undefined
+  onFailed ({ agentId }: LeasedAgent, { job, index, endpointIncarnation: life }: SentRun, reason: Reason): LeasedJobEnd | undefined {
+    if (!LOSS_REASONS.has(reason)) return undefined
     const isCrash = reason === REASONS.endpointCrashed
     this.remember(job, index, { life: `${agentId}/${life}`, place: agentId, isCrash, at: this.now() })
     const task = job.tasks[index]!
-    if (isCrash) task.avoid.add(agentId)
+    if (isCrash) task.avoidedAgents.add(agentId)
     const verdict = this.judge(job, index)
     task.isSuspect = verdict === 'suspect'
-    if (verdict !== 'clear') this.onSuspect(job, index, this.livesOf(job, index), verdict)
-    return verdict === 'give_up' ? this.giveUp(job, index) : undefined
+    if (verdict !== 'clear') this.onSuspect(job, index, this.incarnationsOf(job, index), verdict)
+    return verdict === 'give_up' ? this.failureOf(job, index) : undefined
   }
 
   private remember (job: LeasedJob, index: number, loss: Loss): void {
     if (loss.isCrash) this.crashes.push({ at: loss.at, place: loss.place, job: job.key })
-    const name = nameOf(job, index)
+    const name = taskName(job, index)
     const losses = [...this.losses.get(name) ?? [], loss]
     // Set anew, so that the map's order is that of the latest loss.
     this.losses.delete(name)
@@ -87,23 +87,23 @@
   }
 
   private judge (job: LeasedJob, index: number): Verdict {
-    const losses = this.losses.get(nameOf(job, index)) ?? []
+    const losses = this.losses.get(taskName(job, index)) ?? []
     return judgeSuspect(losses.map((loss) => ({ ...loss, others: this.othersAt(loss, job.key) })))
   }
 
   /** Places whose endpoints crashed at that time, and where nothing of the job ran. */
   private othersAt ({ at }: Loss, job: string): number {
-    const together = this.crashes.filter((crash) => Math.abs(crash.at - at) <= TOGETHER_MS)
-    const ours = new Set(together.filter((crash) => crash.job === job).map(({ place }) => place))
-    return new Set(together.map(({ place }) => place).filter((place) => !ours.has(place))).size
+    const simultaneous = this.crashes.filter((crash) => Math.abs(crash.at - at) <= SAME_CAUSE_MS)
+    const ownPlaces = new Set(simultaneous.filter((crash) => crash.job === job).map(({ place }) => place))
+    return new Set(simultaneous.map(({ place }) => place).filter((place) => !ownPlaces.has(place))).size
   }
 
-  private livesOf (job: LeasedJob, index: number): string[] {
-    const losses = this.losses.get(nameOf(job, index)) ?? []
+  private incarnationsOf (job: LeasedJob, index: number): string[] {
+    const losses = this.losses.get(taskName(job, index)) ?? []
     return [...new Set(losses.map(({ life, isCrash }) => isCrash ? life : `${life} (silent)`))]
   }
 
-  private giveUp (job: LeasedJob, index: number): LeasedJobEnd {
-    return { type: 'failed', reason: REASONS.taskCrashesEndpoints, message: `endpoints crashed under task ${index}: ${this.livesOf(job, index).join(', ')}` }
+  private failureOf (job: LeasedJob, index: number): LeasedJobEnd {
+    return { type: 'failed', reason: REASONS.taskCrashesEndpoints, message: `endpoints crashed under task ${index}: ${this.incarnationsOf(job, index).join(', ')}` }
   }
 }
--- a/packages/coordination/tests/handoff/handOn.test.ts
+++ b/packages/coordination/tests/handoff/handOn.test.ts
@@ -28,7 +28,7 @@
 /** Stamps echoed to agents of entry 1 that run work of entry 0, later than entry 0 is known to have lived: the agents would run it on for too long. */
 const lateEchoes = ({ leased: { entries } }: HandOnNetwork): number[] =>
   [...entries[1]!.dispatcher.fleet.agents.values()].flatMap(({ echoedStampMs, sent }) =>
-    [...sent.values()].flatMap(({ job: { sponsor } }) => sponsor !== undefined && echoedStampMs > sponsor.aliveAt ? [echoedStampMs - sponsor.aliveAt] : []))
+    [...sent.values()].flatMap(({ job: { originEntry: sponsor } }) => sponsor !== undefined && echoedStampMs > sponsor.aliveAt ? [echoedStampMs - sponsor.aliveAt] : []))
 
 /** Moves time on in small steps and looks at every echo. */
 const advanceLooking = async (network: HandOnNetwork, ms: number): Promise<void> => {
@@ -40,7 +40,7 @@
 
 /** The caller's entry has last been alive then, on the common clock. */
 const aliveAtOf = ({ leased: { entries } }: HandOnNetwork): number => Math.max(...[...entries[1]!.dispatcher.fleet.agents.values()]
-  .flatMap(({ sent }) => [...sent.values()].map(({ job: { sponsor } }) => sponsor?.aliveAt ?? -Infinity)))
+  .flatMap(({ sent }) => [...sent.values()].map(({ job: { originEntry: sponsor } }) => sponsor?.aliveAt ?? -Infinity)))
 
 describe('work handed on', () => {
   it('a late entry hands its jobs to its neighbour, which runs them once', async () => {
--- a/packages/coordination/tests/leased/doubt.test.ts
+++ b/packages/coordination/tests/leased/doubt.test.ts
@@ -154,7 +154,7 @@
 
   constructor () {
     this.process = new ProcessClock(this.world)
-    const fleet = new LeasedFleet({ clock: this.process, random: seededRandom(1), zone: 'z', setAsideShare: 0.4, setAsideBackoff: () => 1000 })
+    const fleet = new LeasedFleet({ clock: this.process, random: seededRandom(1), zone: 'z', maxEjectedShare: 0.4, ejectionBackoff: () => 1000 })
     this.sessions = new LeasedSessions({
       clock: this.process,
       watch: new SuspensionWatch(this.process),
@@ -169,7 +169,7 @@
     this.world.advance(1000)
     this.agent = this.sessions.open(create(HelloSchema, { agentId: 'a', incarnation: 'i', zone: 'z' }), this.link)
     this.hear()
-    this.agent.sent.set('task', { job: undefined as never, index: 0, attempt: 0, sentAt: 1000, life: '' })
+    this.agent.sent.set('task', { job: undefined as never, index: 0, attempt: 0, sentAt: 1000, endpointIncarnation: '' })
   }
 
   hear (): void {
--- a/packages/coordination/tests/leased/leasedNetwork.ts
+++ b/packages/coordination/tests/leased/leasedNetwork.ts
@@ -189,8 +189,8 @@
       zone: ZONE,
       times: this.times,
       events: { ...EVENTS, agentChanged: (agent, change) => this.onAgentChanged(agent, change), configSeen: (_version, document) => this.documents.push({ entry: index, text: Buffer.from(document).toString() }) },
-      setAsideShare: 0.4,
-      setAsideBackoff: () => 1000,
+      maxEjectedShare: 0.4,
+      ejectionBackoff: () => 1000,
       defer: (fn) => { setImmediate(() => process.run(fn)) }
     })
     return { incarnation: `e${index}-${this.counter++}`, process, dispatcher, jobs: new LeasedJobs(process, dispatcher), isUp: true }
--- a/packages/coordination/tests/leased/replayQueues.ts
+++ b/packages/coordination/tests/leased/replayQueues.ts
@@ -4,7 +4,7 @@
 import type { LoadView, Shares } from '@hazellift/decisions'
 import { createLeasedJob } from '../../src/index.js'
 import type { LeasedJob } from '../../src/index.js'
-import { findHopeless } from '../../src/leased/leasedAdmission.js'
+import { findJobsToShed } from '../../src/leased/leasedAdmission.js'
 import { LeasedQueue } from '../../src/leased/leasedQueue.js'
 import { LoadRecord } from '../../src/leased/loadRecord.js'
 
@@ -105,10 +105,10 @@
       deadlineMs: 4 * (1.6 * runMs + 60)
     }, this.now, runMs, () => {})
     if (this.isBurst) this.result.queues.get(priority)!.asked++
-    entry.load.onAsked(priority, workLeft(job))
+    entry.load.onArrived(priority, workLeft(job))
     const view = { capacityMilli: SLOTS * SLOT.cpuMilli, load: this.viewOf(entry), waiting: entry.queue, waitingCount: entry.queue.size }
     if (POLICY.admit(job, view).type !== 'taken') return entry.load.onRefused(priority, workLeft(job))
-    entry.load.onTaken(priority, workLeft(job))
+    entry.load.onAdmitted(priority, workLeft(job))
     entry.queue.add(job)
   }
 
@@ -116,7 +116,7 @@
   private startAll (): void {
     while (this.free > 0) {
       const wanting = this.entries.filter(({ queue }) => queue.size > 0)
-        .map((entry) => ({ entry, priority: entry.queue.wantingPriority(this.now, this.viewOf(entry))! }))
+        .map((entry) => ({ entry, priority: entry.queue.demandPriority(this.now, this.viewOf(entry))! }))
         .sort((a, b) => a.priority - b.priority || a.entry.servedAt - b.entry.servedAt)
       if (wanting.length === 0) return
       this.start(wanting[0]!.entry)
@@ -149,9 +149,9 @@
   private sweep (): void {
     for (const entry of this.entries) {
       const { queue, load } = entry
-      load.onLook(queue.size > 0)
+      load.recordWaiting(queue.size > 0)
       const view = this.viewOf(entry)
-      for (const { job } of findHopeless(queue.inOrder(this.now, view), this.now, view, POLICY)) {
+      for (const { job } of findJobsToShed(queue.inOrder(this.now, view), this.now, view, POLICY)) {
         load.onRefused(job.priority, workLeft(job))
         queue.remove(job)
       }
--- a/packages/lab/src/labWorld.ts
+++ b/packages/lab/src/labWorld.ts
@@ -181,8 +181,8 @@
       zone: this.zoneOf(index),
       times: LEASE_TIMES,
       events: { ...EVENTS, sent: (_job, _agent, tasks) => { this.counts.starts += tasks.length } },
-      setAsideShare: SET_ASIDE_SHARE,
-      setAsideBackoff: (times) => Math.min(SET_ASIDE_MS.most, SET_ASIDE_MS.base * 2 ** (times - 1)),
+      maxEjectedShare: SET_ASIDE_SHARE,
+      ejectionBackoff: (times) => Math.min(SET_ASIDE_MS.most, SET_ASIDE_MS.base * 2 ** (times - 1)),
       defer: (fn) => { process.clock.after(0, fn) },
       policy: this.policy
     })
