--- a/packages/coordination/src/leased/leasedAgent.ts
+++ b/packages/coordination/src/leased/leasedAgent.ts
@@ -102,7 +102,7 @@
     this.isResumed = false
     this.hasReportedEndpoint = false
     this.knowsDemand = false
-    Object.assign(this.config, { heldVersion: 0n, sentVersion: 0n, isDue: false, isAsked: false })
+    Object.assign(this.config, { replicaVersion: 0n, sentVersion: 0n, isDocumentDue: false, isRequestDue: false })
     this.evacuationsVersion = 0n
     this.reportedFree = NO_CAPACITY
     this.startsSeen = 0
