--- a/packages/coordination/src/leased/configExchange.test.ts
+++ b/packages/coordination/src/leased/configExchange.test.ts
@@ -11,11 +11,11 @@
 
 const TIMES = { authorityMs: 600, holdMs: 500, stopMs: 50, clockFactor: 1.02 }
 const SWEEP_MS = 25
-/** An agent with nothing to do is heard of this often. */
+/** Interval of frames from an idle agent. */
 const KEEP_ALIVE_MS = 150
-/** A document as packed for a fleet of hundreds of endpoints, of about 10 KB as written. */
+/** Packed size of a document for a fleet of hundreds of endpoints, about 10 KB unpacked. */
 const DOCUMENT_BYTES = 2500
-/** Of a link of 2 Mbit/s, in a tenth of a second. */
+/** Capacity of a 2 Mbit/s link in 100 ms. */
 const LINK_BYTES = 25_000
 
 interface Sent {
@@ -24,15 +24,16 @@
   frame: EntryFrame
 }
 
-/** An entry with sessions to agents that say what they hold; frames leave a turn after they were asked for. */
+/** An entry with sessions to agents that report their document version; frames are sent at the next flush after they were requested. */
 class EntryFixture {
   readonly clock = createFakeClock()
   readonly sent: Sent[] = []
   readonly newer: bigint[] = []
   readonly sessions: LeasedSessions
   readonly agents: LeasedAgent[] = []
+  /** Version of the document that each agent has. */
   readonly replicaVersions: bigint[] = []
-  /** Frames that were asked for and have not left. */
+  /** Frames that were requested and not sent yet, by agent. */
   private readonly pending = new Map<number, EntryFrame>()
 
   constructor (agents: number) {
@@ -51,7 +52,7 @@
     for (let index = 0; index < agents; index++) this.connect(index)
   }
 
-  /** Moves time on; agents that were sent a document hold it a moment later, or never if the link stands still. */
+  /** Advances time. Agents store a document at once when it is sent, or never if the link is stalled. */
   run (ms: number, isLinkStalled = false): void {
     for (let passed = 0; passed < ms; passed += SWEEP_MS) {
       this.sessions.sweep(this.clock.now())
@@ -62,12 +63,13 @@
     }
   }
 
+  /** Delivers a frame from an agent. */
   receive (index: number, frame: Partial<AgentFrame>): void {
     const agent = this.agents[index]!
     this.sessions.onFrame(agent, agent.link!, create(AgentFrameSchema, { stampMs: this.clock.now(), ...frame } as AgentFrame))
   }
 
-  /** What is asked for leaves. */
+  /** Sends the requested frames. */
   flush (isLinkStalled = false): void {
     for (const [index, frame] of this.pending) {
       this.sessions.stamp(this.agents[index]!, frame)
@@ -77,6 +79,7 @@
     this.pending.clear()
   }
 
+  /** Frames that carried a document. */
   get documents (): Sent[] {
     return this.sent.filter(({ frame }) => frame.config.length > 0)
   }
@@ -95,11 +98,11 @@
 
 const documentOf = (version: bigint): Uint8Array => new Uint8Array(DOCUMENT_BYTES).fill(Number(version))
 
-describe('what a change of the configuration costs an entry', () => {
+describe('bytes sent by an entry for changes of the configuration', () => {
   const changes: Array<{ name: string, agents: number, versions: bigint[], gapMs: number, isLinkStalled: boolean, maxBytes: number }> = [
-    { name: 'one change at 160 agents', agents: 160, versions: [1n], gapMs: 2000, isLinkStalled: false, maxBytes: 20_000 },
-    { name: 'one at 160 agents over a link on which nothing arrives', agents: 160, versions: [1n], gapMs: 2000, isLinkStalled: true, maxBytes: 20_000 },
-    { name: 'three a second for four seconds', agents: 160, versions: [1n, 2n, 3n, 4n, 5n, 6n, 7n, 8n, 9n, 10n, 11n, 12n], gapMs: 325, isLinkStalled: false, maxBytes: 120_000 }
+    { name: 'stay below 20 KB for one change with 160 agents', agents: 160, versions: [1n], gapMs: 2000, isLinkStalled: false, maxBytes: 20_000 },
+    { name: 'stay below 20 KB for one change with 160 agents over a stalled link', agents: 160, versions: [1n], gapMs: 2000, isLinkStalled: true, maxBytes: 20_000 },
+    { name: 'stay below 120 KB for three changes a second over four seconds', agents: 160, versions: [1n, 2n, 3n, 4n, 5n, 6n, 7n, 8n, 9n, 10n, 11n, 12n], gapMs: 325, isLinkStalled: false, maxBytes: 120_000 }
   ]
   it.each(changes)('$name', ({ agents, versions, gapMs, isLinkStalled, maxBytes }) => {
     const entry = new EntryFixture(agents)
@@ -116,7 +119,7 @@
     }
   })
 
-  it('the agents that keep it are replaced when they go', () => {
+  it('replicas of the document are replaced when they disconnect', () => {
     const entry = new EntryFixture(6)
     entry.sessions.setConfig(1n, documentOf(1n))
     entry.run(600)
@@ -129,8 +132,8 @@
   })
 })
 
-describe('a document and its version', () => {
-  it('go together, whatever came into force since the frame was asked for', () => {
+describe('a configuration document', () => {
+  it('is sent with its own version if a newer one came into force after the frame was requested', () => {
     const entry = new EntryFixture(1)
     entry.sessions.setConfig(1n, documentOf(1n))
     entry.sessions.sweep(entry.clock.now())
@@ -140,7 +143,7 @@
     expect(entry.documents.length).toBeGreaterThan(0)
   })
 
-  it('go together in an agent\'s frame, too', () => {
+  it('is sent by an agent with its own version if a newer one arrived after the frame was requested', () => {
     const sessions = new HostSessions(createFakeClock())
     const changes: Array<(frame: AgentFrame) => void> = []
     const add = (change: (frame: AgentFrame) => void): void => { changes.push(change) }
@@ -156,13 +159,13 @@
   })
 })
 
-describe('an entry that hears of a newer document', () => {
+describe('an entry that learns of a newer document', () => {
   const requestCases: Array<{ name: string, ownVersion: bigint, isUnconfirmed?: boolean, waitMs: number, requests: number }> = [
-    { name: 'leaves the store some time', ownVersion: 1n, waitMs: 200, requests: 0 },
-    { name: 'asks one agent if the store does not bring it', ownVersion: 1n, waitMs: 400, requests: 1 },
-    { name: 'asks at once if it has none', ownVersion: 0n, waitMs: 50, requests: 1 },
-    { name: 'asks at once while the store is in doubt', ownVersion: 1n, isUnconfirmed: true, waitMs: 50, requests: 1 },
-    { name: 'is not asked for more often by a store in doubt', ownVersion: 1n, isUnconfirmed: true, waitMs: 200, requests: 1 }
+    { name: 'requests nothing within 200 ms, so that the store can deliver it', ownVersion: 1n, waitMs: 200, requests: 0 },
+    { name: 'requests it from one agent if the store has not delivered it after 400 ms', ownVersion: 1n, waitMs: 400, requests: 1 },
+    { name: 'requests it at once if it has no document', ownVersion: 0n, waitMs: 50, requests: 1 },
+    { name: 'requests it at once while its own document is unconfirmed', ownVersion: 1n, isUnconfirmed: true, waitMs: 50, requests: 1 },
+    { name: 'requests it only once in 200 ms while its own document is unconfirmed', ownVersion: 1n, isUnconfirmed: true, waitMs: 200, requests: 1 }
   ]
   it.each(requestCases)('$name', ({ ownVersion, isUnconfirmed = false, waitMs, requests }) => {
     const entry = new EntryFixture(4)
@@ -173,7 +176,7 @@
     expect(entry.sent.filter(({ frame }) => frame.wantsConfig)).toHaveLength(requests)
   })
 
-  it('asks the next agent when one does not answer, and tells of what it was given', () => {
+  it('requests it from another agent when one does not answer, and reports the document received', () => {
     const entry = new EntryFixture(4)
     entry.replicaVersions.fill(2n)
     entry.run(700)
--- a/packages/coordination/src/leased/configExchange.ts
+++ b/packages/coordination/src/leased/configExchange.ts
@@ -3,35 +3,34 @@
 import { ConfigCopy } from './configCopy.js'
 import type { LeasedAgent } from './leasedAgent.js'
 
-/** What the exchange needs. */
+/** Dependencies of a {@link ConfigExchange}. */
 export interface ConfigExchangeOptions {
   clock: Pick<Clock, 'now'>
   /** Agents that this entry knows, with or without a session. */
   agents: () => Iterable<LeasedAgent>
-  /** An agent's document is newer than the one in force here. */
+  /** Called when an agent sent a newer document than the one in force here. */
   onNewer: (version: bigint, document: Uint8Array) => void
 }
 
 /**
- * Agents that keep this entry's document. With a copy to every agent, a change
- * takes 400 KB of an entry with 160 of them (counted, 2.5 KB packed); with three,
- * under 20 KB.
+ * Number of agents that store this entry's document. With 2.5 KB a packed document,
+ * sending a change to each of 160 agents takes an entry 400 KB; to three, under 20 KB.
  */
 const REPLICA_COUNT = 3
-/** One copy at a time: with some 2 KB each, a change takes less than a tenth of a link of 2 Mbit/s. */
+/** Pause between documents to replicas: at about 2 KB each, a change takes less than a tenth of a 2 Mbit/s link. */
 const SEND_INTERVAL_MS = 100
-/** The store's own watch is usually quicker than a peer; a document is asked for only where it is not, or is in doubt. */
+/** Time for the store's watch to deliver a newer document, as it is usually faster than an agent. Not waited for while this entry's document is unconfirmed. */
 const REQUEST_DELAY_MS = 300
-/** Time for the answer, before another agent is asked. */
+/** Time for an agent to answer a request, before the document is requested from another one. */
 const REQUEST_INTERVAL_MS = 250
 
 /**
- * An entry's exchange of configuration documents with its agents: a few of them
- * keep the newest one for entries that cannot read the store, and an entry that
- * hears of a newer one than its own asks for it.
+ * An entry's exchange of configuration documents with its agents. A few agents, the
+ * replicas, store the newest document for entries that cannot read the store, and an
+ * entry that learns of a newer document than its own requests it from an agent.
  *
- * Invariant: a document always leaves together with its own version, and at most
- * once to a session.
+ * Invariant: a document is always sent with its own version, and at most once on a
+ * session.
  */
 export class ConfigExchange {
   private readonly copy = new ConfigCopy()
@@ -44,17 +43,17 @@
 
   constructor (private readonly options: ConfigExchangeOptions) {}
 
-  /** A document came into force here. */
+  /** Handles a document that came into force here. */
   setConfig (version: bigint, document: Uint8Array): void {
     this.copy.offer(version, document)
   }
 
-  /** The store may hold a newer document than it showed this entry: agents that tell of one are asked at once. */
+  /** Sets whether the store may hold a newer document than it returned: then one that agents report is requested at once. */
   setUnconfirmed (isUnconfirmed: boolean): void {
     this.isOwnUnconfirmed = isUnconfirmed
   }
 
-  /** An agent told what it holds, or gave its document. */
+  /** Handles the document version, and the document if there is one, in a frame from an agent. */
   onFrame (agent: LeasedAgent, { configVersion, config }: AgentFrame): void {
     agent.config.replicaVersion = configVersion
     if (config.length > 0 && this.copy.offer(configVersion, config)) this.options.onNewer(configVersion, config)
@@ -63,7 +62,7 @@
     this.newestSince = this.options.clock.now()
   }
 
-  /** Fills in a frame as it leaves. */
+  /** Adds the version, and a document or a request that is due, to a frame that is about to be sent. */
   fillFrame ({ config }: LeasedAgent, frame: EntryFrame): void {
     frame.configVersion = this.copy.version
     frame.wantsConfig = config.isRequestDue
@@ -74,7 +73,7 @@
     frame.config = this.copy.document
   }
 
-  /** To be called a few tens of times a second. */
+  /** Sends and requests documents that are due. To be called a few tens of times a second. */
   sweep (now: number): void {
     if (this.copy.version > 0n && now - Math.max(this.sentAt, this.checkedAt) >= SEND_INTERVAL_MS) this.sendToNextReplica(now)
     const isRequestAllowed = this.copy.version === 0n || this.isOwnUnconfirmed || now - this.newestSince >= REQUEST_DELAY_MS
@@ -91,7 +90,7 @@
     replica.link!.add(() => {})
   }
 
-  /** Asks the agent that was asked longest ago. */
+  /** Requests the document from the agent that was sent a request longest ago. */
   private requestFromNext (now: number): void {
     const [source] = this.connectedAgents
       .filter(({ config }) => config.replicaVersion > this.copy.version)
@@ -107,7 +106,7 @@
     return [...this.options.agents()].filter(({ link, isLeaving }) => link !== undefined && !isLeaving)
   }
 
-  /** The same agents for all entries that know them, so that few hold a copy. */
+  /** Agents that store this entry's document. Entries with the same agents choose the same replicas, so that few agents hold one. */
   private get replicas (): LeasedAgent[] {
     return this.connectedAgents.sort((a, b) => b.config.replicaScore - a.config.replicaScore).slice(0, REPLICA_COUNT)
   }
--- a/packages/coordination/src/leased/echoLimits.ts
+++ b/packages/coordination/src/leased/echoLimits.ts
@@ -1,55 +1,61 @@
 import type { LeasedAgent } from './leasedAgent.js'
 import type { LeasedJob } from './leasedJob.js'
 
-/** Another entry for which this one runs jobs. */
+/** An entry that took jobs from their callers and handed them on (forwarded them) to this one. */
 export interface OriginEntry {
-  /** It was surely alive at this moment of this process's clock. */
+  /** Latest time at which it is known to have been alive, in ms on this process's clock. */
   aliveAt: number
 }
 
-/** An entry that was heard of longer ago gets no start, and other agents' echoes are not held back for it. */
+/**
+ * Jobs of an origin entry that was last known alive longer ago are not started, and
+ * it does not limit echoes to agents where it has no run in flight.
+ */
 const MAX_ORIGIN_SILENCE_MS = 150
-/** An echo is not held back further, as long as nothing of another entry is out at the agent. */
+/** While an origin entry has no run in flight at an agent, echoes there are not limited to timestamps received longer ago. */
 const MAX_STAMP_AGE_MS = 400
 
 /**
- * Which stamps an entry echoes to its agents while it runs jobs of other
- * entries. Authority for such a job must end with the life of the entry that
- * keeps its caller as well as with that of this one.
+ * Chooses the timestamps that an entry echoes to its agents while it runs jobs
+ * that other entries handed on. The entry lease of such a job must end with its
+ * origin entry as well as with this one.
  *
- * Invariant: while a job of a sponsor is out at an agent, the highest stamp ever
- * echoed there had been read by `aliveAt`. So the agent stamped it while the
- * sponsor lived, and its authority ends as soon after the sponsor's death as if
- * the sponsor itself had ordered the start.
+ * Invariant: while a run of an origin entry is in flight at an agent, the highest
+ * timestamp ever echoed there was received by `aliveAt`. The agent made it while
+ * the origin entry was alive, so its entry lease ends as soon after the death of
+ * the origin entry as if that entry had ordered the start itself.
  */
 export class EchoLimits {
   private readonly openOrigins = new Set<OriginEntry>()
   private hasSeenOrigin = false
 
-  /** From now on jobs of this entry may come; echoes are held back so that they can be started. */
+  /** Registers an entry that may hand on jobs from now on. It limits echoes at once, so that its jobs can be started. */
   addOrigin (originEntry: OriginEntry): void {
     this.openOrigins.add(originEntry)
     this.hasSeenOrigin = true
   }
 
-  /** None come any more; those that are out still hold echoes back. */
+  /** Removes an entry that hands on no more jobs. Its runs in flight still limit echoes. */
   removeOrigin (originEntry: OriginEntry): void {
     this.openOrigins.delete(originEntry)
   }
 
-  /** A frame of the agent was read. */
+  /** Records the timestamp of a frame that was received from the agent. */
   onStamp (agent: LeasedAgent, now: number): void {
     if (this.hasSeenOrigin) agent.stamps.add(now, agent.stampMs)
   }
 
-  /** The stamp to echo with a frame that leaves now. */
+  /** Returns the timestamp to echo in a frame that is sent now, and records it as echoed. */
   stampToEcho (agent: LeasedAgent, now: number): number {
     const stampMs = this.hasSeenOrigin ? this.limitedStamp(agent, now) : agent.stampMs
     agent.echoedStampMs = Math.max(agent.echoedStampMs, stampMs)
     return stampMs
   }
 
-  /** True if a start of the job may be sent to the agent. */
+  /**
+   * True if a start of the job may be sent to the agent: any start of this entry's own
+   * jobs, and one of an origin entry while the invariant holds with it.
+   */
   mayStart ({ originEntry }: Pick<LeasedJob, 'originEntry'>, agent: LeasedAgent, now: number): boolean {
     if (originEntry === undefined) return true
     if (now - originEntry.aliveAt > MAX_ORIGIN_SILENCE_MS) return false
--- a/packages/coordination/src/leased/evacuationExchange.ts
+++ b/packages/coordination/src/leased/evacuationExchange.ts
@@ -2,48 +2,48 @@
 import type { EvacuationList } from './evacuationList.js'
 import type { LeasedAgent } from './leasedAgent.js'
 
-/** What the exchange needs. */
+/** Dependencies of an {@link EvacuationExchange}. */
 export interface EvacuationExchangeOptions {
   list: EvacuationList
   /** Agents that this entry knows, with or without a session. */
   agents: () => Iterable<LeasedAgent>
-  /** Other zones are evacuated than before. */
+  /** Called when the set of evacuated zones has changed. */
   onChange: (origin: EvacuationOrigin) => void
 }
 
-/** Who told of a list. */
+/** Where a list came from. */
 export type EvacuationOrigin = 'operator' | 'agent'
 
 /**
- * An entry's exchange of the list of evacuated zones with its agents. Unlike a
- * configuration document the list is some ten bytes, and every agent needs it:
- * it rides once on the next frame to each that has an older one, and agents of
- * zones that change are sent a frame at once.
+ * An entry's exchange of the list of evacuated zones with its agents. The list is
+ * only about ten bytes and every agent needs it, unlike a configuration document:
+ * the next frame to each agent with an older list carries it once, and agents in
+ * zones that were evacuated or restored are sent a frame at once.
  *
- * Invariant: a frame that carries starts carries the list that they were placed
- * by, unless its agent has one as new. So a start reaches no agent that knows
- * less than the entry that sent it.
+ * Invariant: a frame with starts carries the list by which they were placed, unless
+ * its agent has that version or a newer one. So no start reaches an agent with an
+ * older list than that of the entry that sent it.
  */
 export class EvacuationExchange {
   constructor (private readonly options: EvacuationExchangeOptions) {}
 
-  /** The operator's list was read. */
+  /** Handles a list that was read from the operator's store. */
   set (evacuations: Pick<Evacuations, 'version' | 'zones'>): void {
     this.update(evacuations, 'operator')
   }
 
-  /** An agent told which list it has, or gave it. */
+  /** Handles the list version, and the list if there is one, in a frame from an agent. */
   onFrame (agent: LeasedAgent, { evacuationsVersion, evacuations }: AgentFrame): void {
     agent.evacuationsVersion = evacuationsVersion > agent.evacuationsVersion ? evacuationsVersion : agent.evacuationsVersion
     if (evacuations !== undefined) this.update(evacuations, 'agent')
   }
 
-  /** Fills in a frame as it leaves. */
+  /** Adds the list's version to a frame that is about to be sent, and the list if the agent has an older one. */
   fillFrame (agent: LeasedAgent, frame: EntryFrame): void {
     const { list } = this.options
     frame.evacuationsVersion = list.version
     if (agent.evacuationsVersion >= list.version) return
-    // The session delivers in order, or ends: what was sent on it need not be sent again.
+    // A session delivers frames in order or ends, so a list is sent only once on it.
     agent.evacuationsVersion = list.version
     frame.evacuations = list.toMessage()
   }
--- a/packages/coordination/src/leased/evacuationList.ts
+++ b/packages/coordination/src/leased/evacuationList.ts
@@ -3,33 +3,33 @@
 import type { Evacuations } from '@hazellift/protocol'
 
 /**
- * The availability zones that an operator evacuates, as far as a process has
- * heard: their endpoints get no start until the zone is restored.
+ * The availability zones that an operator evacuates, as far as a process knows.
+ * Endpoints of an evacuated zone get no starts until the zone is restored.
  *
- * Invariant: the version only grows, so that no older news takes the place of newer.
+ * Invariant: the version never decreases, so an older list never replaces a newer one.
  */
 export class EvacuationList {
   private current: { version: bigint, zones: ReadonlySet<string> } = { version: 0n, zones: new Set() }
 
-  /** 0 while nothing was heard. */
+  /** Version of the list; 0 before the first one. */
   get version (): bigint {
     return this.current.version
   }
 
-  /** In ascending order. */
+  /** Evacuated zones in ascending order. */
   get zones (): string[] {
     return [...this.current.zones].sort()
   }
 
-  /** True while no start may go to endpoints of the zone. */
+  /** True while the zone is evacuated: no start may be sent to its endpoints. */
   has (zone: string): boolean {
     return this.current.zones.has(zone)
   }
 
   /**
-   * Takes a list if it is newer.
+   * Adopts a list if it is newer than the current one.
    *
-   * @returns true if other zones are evacuated now than before
+   * @returns true if the set of evacuated zones has changed
    */
   update ({ version, zones }: Pick<Evacuations, 'version' | 'zones'>): boolean {
     if (version <= this.version) return false
@@ -39,7 +39,7 @@
     return before.size !== after.size || [...after].some((zone) => !before.has(zone))
   }
 
-  /** The list as it travels. */
+  /** Encodes the list for a frame. */
   toMessage (): Evacuations {
     return create(EvacuationsSchema, { version: this.version, zones: this.zones })
   }
--- a/packages/coordination/src/leased/findStragglers.ts
+++ b/packages/coordination/src/leased/findStragglers.ts
@@ -3,18 +3,19 @@
 import type { LeasedFleet } from './leasedFleet.js'
 import type { RunTimes } from './runTimes.js'
 
-/** A run that takes far longer than others of its kind, and its agent. */
+/** A run that takes far longer than others of its kind, with the agent that runs it. */
 export interface Straggler extends SentRun {
   agent: LeasedAgent
 }
 
 /**
- * Runs to move: each once, and only where another agent has room.
+ * Finds the runs to move to another agent. A task is moved at most once, not after one
+ * of its starts was refused or failed, and only if another agent has free capacity.
  *
- * @param fleet - agents with what was sent to them
+ * @param fleet - agents with the runs sent to them
  * @param runTimes - usual run times by kind
- * @param now - on the clock that the sending times were read from
- * @param move - decides on a run by itself
+ * @param now - in ms, on the clock of `sentAt`
+ * @param move - decides whether a single run is a straggler
  */
 export const findStragglers = (fleet: LeasedFleet, runTimes: RunTimes, now: number, move: Move): Straggler[] => {
   const isStraggler = ({ slowness }: LeasedAgent, { job, sentAt }: SentRun): boolean => move({
--- a/packages/coordination/src/leased/leasedAgent.ts
+++ b/packages/coordination/src/leased/leasedAgent.ts
@@ -5,29 +5,30 @@
 import type { LeasedJob } from './leasedJob.js'
 import { StampHistory } from './stampHistory.js'
 
-/** An order sent to an agent and not proved to be over. */
+/** A run of a task that was sent to an agent and is not confirmed terminated. */
 export interface SentRun {
   job: LeasedJob
   index: number
   attempt: number
+  /** When its start was sent, in ms on the entry's clock. */
   sentAt: number
-  /** Life of the endpoint there, as the agent had told. */
+  /** Incarnation of the agent's endpoint that was known when the start was sent. */
   endpointIncarnation: string
 }
 
-/** What passed between an entry and an agent of configuration documents. */
+/** State of an entry's exchange of configuration documents with one agent. */
 export interface ConfigExchangeState {
-  /** The agents with the highest keep copies. */
+  /** Rendezvous hash: the agents with the highest scores are the replicas. */
   readonly replicaScore: number
-  /** As the agent said last. */
+  /** Version that the agent reported last; 0 for none. */
   replicaVersion: bigint
-  /** Sent on this session. */
+  /** Version that was sent last on this session; 0 for none. */
   sentVersion: bigint
   /** The next frame carries the document. */
   isDocumentDue: boolean
-  /** The next frame asks for the agent's document. */
+  /** The next frame requests the agent's document. */
   isRequestDue: boolean
-  /** When it was asked last. */
+  /** When its document was requested last, in ms on the entry's clock. */
   requestedAt: number
 }
 
@@ -38,46 +39,50 @@
 const subtract = (free: Resources, need: Resources): Resources =>
   ({ cpuMilli: free.cpuMilli - need.cpuMilli, memoryMb: free.memoryMb - need.memoryMb })
 
-/** What an entry knows of one process of an agent, and what it has ordered there. */
+/** What an entry knows of one process of an agent, with the runs that it has sent there. */
 export class LeasedAgent {
   readonly agentId: string
   readonly incarnation: string
   readonly zone: string
   service = ''
-  /** Life of the endpoint; empty until the agent has proved that nothing else runs there. */
+  /** Incarnation of the endpoint; empty until the agent has confirmed that nothing of an earlier agent process runs there. */
   endpointIncarnation = ''
+  /** Whole capacity of the endpoint. */
   capacity = NO_CAPACITY
+  /** Unset without a session. */
   link: AgentLink | undefined
-  /** False until the agent told what it holds. */
+  /** True once the agent has listed, on this session, the tasks that it has from this entry. */
   isResumed = false
+  /** The agent takes no more starts. */
   isLeaving = false
-  /** The agent's own clock, as it said last. */
+  /** Latest timestamp received from the agent, in ms on its clock; 0 if it must not be echoed. */
   stampMs = 0
-  /** Which of its stamps were read when; empty while no other entry's jobs may come. */
+  /** Its timestamps with their times of receipt; empty until another entry may hand on jobs. */
   readonly stamps = new StampHistory()
-  /** The highest stamp echoed to this process of it, on any session. */
+  /** The highest timestamp echoed to this agent process, on any session. */
   echoedStampMs = 0
-  /** When its last frame was read. */
+  /** When the last frame from it was received, in ms on the entry's clock. */
   heardAt = 0
-  /** When it was last echoed to the agent. */
+  /** When the last frame to it was sent; each frame echoes a timestamp. */
   echoedAt = 0
-  /** Run times at its endpoint lately against the expected ones, as the agent sees those of all entries. */
+  /** Recent run times at its endpoint relative to the expected ones, over the tasks of all entries. 1 is as expected. */
   slowness = 1
-  /** Entries that share its endpoint, as it said last. */
+  /** Number of entries that share its endpoint, as it reported last. */
   entryCount = 1
-  /** The agent was told that tasks wait here. */
+  /** The last frame to the agent reported that tasks wait here. */
   knowsDemand = false
   readonly config: ConfigExchangeState
-  /** Version of the list of evacuated zones that it has, or that was sent on this session. */
+  /** Latest version of the list of evacuated zones that it reported or was sent on this session. */
   evacuationsVersion = 0n
-  /** The agent has told of its endpoint on this session. */
+  /** The agent has reported its endpoint on this session. */
   private hasReportedEndpoint = false
+  /** Runs that are not confirmed terminated, by task key. */
   readonly sent = new Map<string, SentRun>()
   private reportedFree = NO_CAPACITY
   private startsSeen = 0
-  /** Needs of the starts sent on this session, those that the told room does not reflect yet last. */
+  /** Needs of the starts sent on this session that the reported free capacity does not reflect yet, oldest first. */
   private unseenNeeds: Resources[] = []
-  /** The told room less these; read for every agent at each choice, so it is kept. */
+  /** Reported free capacity less these needs; cached because every choice of an agent reads it for all agents. */
   private remaining = NO_CAPACITY
 
   constructor ({ agentId, incarnation, zone }: Hello) {
@@ -89,12 +94,12 @@
     }
   }
 
-  /** What can be sent on top of everything sent before. */
+  /** Free capacity that remains for further starts. */
   get room (): Resources {
     return this.remaining
   }
 
-  /** A new session: nothing of an earlier one counts. */
+  /** Begins a new session and resets all state of an earlier one. */
   connect (link: AgentLink, now: number): void {
     this.link?.close()
     this.link = link
@@ -110,7 +115,7 @@
     this.remaining = NO_CAPACITY
   }
 
-  /** The agent told its room. */
+  /** Handles free capacity that the agent reported, and the number of starts that it reflects. */
   setFreeCapacity ({ cpuMilli, memoryMb, startsSeen }: Room): void {
     this.unseenNeeds.splice(0, startsSeen - this.startsSeen)
     this.startsSeen = startsSeen
@@ -118,11 +123,12 @@
     this.remaining = this.unseenNeeds.reduce(subtract, this.reportedFree)
   }
 
-  /** True if this is the life that the session has told of already, perhaps with another capacity. */
+  /** True if the agent has already reported this endpoint incarnation on this session, perhaps with another capacity. */
   isSameIncarnation ({ service, incarnation }: EndpointState): boolean {
     return this.hasReportedEndpoint && service !== '' && service === this.service && incarnation === this.endpointIncarnation
   }
 
+  /** Handles the endpoint that the agent reported; an empty service means that it has none. */
   setEndpoint ({ service, incarnation, capacity }: EndpointState): void {
     this.hasReportedEndpoint = true
     this.service = service
@@ -133,7 +139,7 @@
     this.remaining = NO_CAPACITY
   }
 
-  /** A start was sent. */
+  /** Deducts the need of a start that is being sent. */
   reserve (need: Resources): void {
     this.unseenNeeds.push(need)
     this.remaining = subtract(this.remaining, need)
--- a/packages/coordination/src/leased/leasedDispatcher.ts
+++ b/packages/coordination/src/leased/leasedDispatcher.ts
@@ -14,27 +14,28 @@
 import { RunTimes } from './runTimes.js'
 import { Suspects } from './suspects.js'
 
-/** Scale of run times in the health records, which compare them with the expected ones. */
+/** Health records hold run times relative to the expected ones: this is a run that took as long as expected, in ms. */
 const EXPECTED_SCALE_MS = 100
-/** A process that has just started does not know its agents yet; after an outage of all they take about two seconds. */
+/** A process that has just started does not know its agents yet: after an outage of all, they take about two seconds to connect. */
 const DISCOVERY_MS = 3000
-/** Pause before a task is sent again that an earlier entry's order still holds. */
+/** Pause before a task is sent again whose run under an earlier entry is not terminated yet. */
 const DUPLICATE_RETRY_MS = 150
-/** Reasons after which a start has a better chance elsewhere. */
+/** Reasons for which a refused start has a better chance at another agent. */
 const RETRY_ELSEWHERE_REASONS: ReadonlySet<string> = new Set([REASONS.endpointBusy, REASONS.endpointRefused, REASONS.orderUnanswered])
 
 /**
- * Jobs of one entry that are not kept, and the orders it has sent.
+ * Dispatches the ephemeral jobs of one entry: queues them, sends their tasks to agents
+ * and follows each run to its end.
  *
- * Invariant: a task is sent only while none of its earlier orders can run. An
- * order is over when its agent says so, when the agent's next process has
- * proved that nothing runs there, or `provedOverMs` after the last frame read
- * from its agent.
+ * Invariant: a task is sent only if none of its earlier runs can run any more. A run is
+ * confirmed terminated when its agent reports so, when the agent's next process has
+ * reported an endpoint, as it does so only once nothing runs there, or
+ * `terminationBoundMs` after the last frame received from its agent.
  */
 export class LeasedDispatcher {
   /** This entry's side of its sessions with agents. */
   readonly sessions: LeasedSessions
-  /** Agents, queues and what is known of both. */
+  /** Agents and queues. */
   readonly fleet: LeasedFleet
   private readonly sender: LeasedSender
   private readonly jobs = new Map<string, LeasedJob>()
@@ -57,40 +58,41 @@
     this.startedAt = options.clock.now()
   }
 
-  /** Jobs not ended. */
+  /** Number of jobs that have not ended. */
   get openJobs (): number {
     return [...this.jobs.values()].filter(({ end }) => end === undefined).length
   }
 
-  /** Jobs with tasks that wait to be sent. */
+  /** Number of jobs with tasks that wait to be sent. */
   get waitingJobs (): number {
     return [...this.fleet.services.values()].reduce((sum, { queue }) => sum + queue.size, 0)
   }
 
-  /** Queues that got less lately than what is kept for them. */
+  /** Number of queues that got less than their floors lately. */
   get queuesBelowFloor (): number {
     return this.fleet.queuesBelowFloor
   }
 
-  /** Jobs of a kind of which nothing was started. */
+  /** Number of waiting jobs of a kind of which no task may have run. */
   pendingOf (kind: string): number {
     return this.fleet.pendingOf(kind)
   }
 
-  /** How long a task of such a job takes, as learned. */
+  /** Run time to expect of a task of such a job, in ms, learned from earlier runs. */
   expectedMs ({ kind, estimateMs }: Pick<LeasedJobSpec, 'kind' | 'estimateMs'>): number {
     return this.runTimes.expect(kind, estimateMs)
   }
 
-  /** The job under this key, also if only its last orders are not over. */
+  /** The job with this key; also one that has ended, until its runs are confirmed terminated. */
   find (key: string): LeasedJob | undefined {
     return this.jobs.get(key)
   }
 
   /**
-   * Takes a job on, or refuses it. No job with its key may be known here.
+   * Admits a job or refuses it. No job with its key may be known here.
    *
-   * @param onEnd - told of the end, once
+   * @param spec - the job as its caller submitted it
+   * @param onEnd - called once, when the job ends; for a refused job, before this method returns
    */
   submit (spec: LeasedJobSpec, onEnd: (end: LeasedJobEnd) => void): LeasedJob {
     const { clock } = this.options
@@ -110,13 +112,13 @@
     this.sender.schedule(job.service)
   }
 
-  /** Ends a job early: what waits is dropped, what runs is stopped. */
+  /** Ends a job early: drops its waiting tasks and stops its runs. */
   cancel (job: LeasedJob, reason: Reason, message: string): void {
     if (job.end !== undefined) return
     this.finish(job, { type: 'failed', reason, message })
   }
 
-  /** Looks at what time has changed; to be called a few tens of times a second. */
+  /** Handles lost agents, passed deadlines, jobs to shed and stragglers. To be called a few tens of times a second. */
   sweep (): void {
     const now = this.options.clock.now()
     this.sessions.sweep(now)
@@ -126,7 +128,7 @@
     this.sender.scheduleAll()
   }
 
-  /** True while a job may wait for endpoints that this process does not know yet. */
+  /** True while jobs are admitted without a forecast, as this process does not know its endpoints yet. */
   private get isDiscovering (): boolean {
     return !this.sessions.hasSeenEndpoint && this.options.clock.now() - this.startedAt < DISCOVERY_MS
   }
@@ -159,7 +161,7 @@
     job.mayHaveRun--
     this.fleet.serviceOf(job.service).load.onStarted(job.priority, -job.need.cpuMilli * job.expectedMs)
     if (reason !== REASONS.duplicateStart) return this.requeue(agent, job, index, reason)
-    // An earlier entry's run of this task is not over yet; nowhere may another one begin.
+    // A run of this task under an earlier entry is not terminated yet, so no other one may start anywhere.
     this.options.clock.after(DUPLICATE_RETRY_MS, () => this.requeue(agent, job, index, reason))
   }
 
@@ -170,7 +172,7 @@
     if (task.isMoving) task.avoidedAgents.add(agent.agentId)
     const end = this.suspects.onFailed(agent, sent, reason)
     if (end !== undefined) this.finish(job, end)
-    // Of other ends neither the task nor its endpoint is at fault.
+    // For other reasons neither the task nor the endpoint is at fault.
     if (reason !== REASONS.endpointError) return this.requeue(agent, job, index, reason)
     this.fleet.healthOf(agent)?.failed(agent.agentId)
     task.failures++
@@ -181,7 +183,7 @@
     this.requeue(agent, job, index, reason)
   }
 
-  /** An order is over and its task is not done. */
+  /** Queues a task again whose run is terminated without success. */
   private requeue (agent: LeasedAgent, job: LeasedJob, index: number, reason: Reason): void {
     const task = job.tasks[index]!
     job.unterminatedRuns--
@@ -203,7 +205,7 @@
     if (now >= job.deadlineAt) this.cancel(job, REASONS.deadline, 'the caller\'s deadline has passed')
   }
 
-  /** Refuses what waits and will not begin in time, by what is ahead of it now. */
+  /** Refuses waiting jobs that cannot start in time, by the forecast wait. */
   private shed (service: string, now: number): void {
     const { queue, load } = this.fleet.serviceOf(service)
     load.recordWaiting(queue.size > 0)
@@ -212,7 +214,7 @@
     for (const { job, end } of findJobsToShed(queue.inOrder(now, view), now, view, this.fleet.policy)) this.finish(job, end)
   }
 
-  /** Stops runs that take far longer than others of their kind, so that they can run elsewhere. */
+  /** Stops runs that take far longer than others of their kind, so that their tasks run elsewhere. */
   private moveStragglers (now: number): void {
     for (const { agent, job, index, sentAt } of findStragglers(this.fleet, this.runTimes, now, this.fleet.policy.move)) {
       job.tasks[index]!.isMoving = true
--- a/packages/coordination/src/leased/leasedDispatcherOptions.ts
+++ b/packages/coordination/src/leased/leasedDispatcherOptions.ts
@@ -7,27 +7,28 @@
 import type { OnSuspect } from './suspects.js'
 import type { LeaseTimes } from './times.js'
 
-/** What the dispatcher tells its owner, for logs and metrics. */
+/** Events of a dispatcher, for logs and metrics. */
 export interface LeasedDispatchEvents extends LeasedSessionEvents {
+  /** A job has ended. */
   ended: (job: LeasedJob, end: LeasedJobEnd) => void
-  /** Starts went out. */
+  /** Starts of tasks were sent to an agent; `freeCapacity` is what then remains there. */
   sent: (job: LeasedJob, agentId: string, tasks: number[], freeCapacity: Resources) => void
-  /** A run that takes too long is being stopped, to run elsewhere. */
+  /** A straggler that has run for `runMs` is being stopped, to run elsewhere. */
   moved: (job: LeasedJob, index: number, agentId: string, runMs: number) => void
-  /** A task waits again. */
+  /** A task that was sent waits again. */
   requeued: (job: LeasedJob, index: number, agentId: string, reason: Reason) => void
-  /** An endpoint crashed under the task; the lives so far, and what follows. */
+  /** An endpoint was lost under a task. */
   suspected: OnSuspect
-  /** A run ended, or a start was turned away. */
+  /** An agent reported that a run ended or that a start was refused. */
   result: (agentId: string, result: TaskResult) => void
 }
 
-/** What the dispatcher needs. */
+/** Options of a {@link LeasedDispatcher}. */
 export interface LeasedDispatcherOptions extends LeasedFleetOptions {
   times: LeaseTimes
-  /** Notices what the clock has not counted; one of its own if unset. */
+  /** Detects suspensions, which the clock does not count; defaults to a watch of its own. */
   watch?: SuspensionWatch
   events: LeasedDispatchEvents
-  /** Runs `fn` after the events that are ready now. */
+  /** Runs `fn` after the events that are already pending. */
   defer: (fn: () => void) => void
 }
--- a/packages/coordination/src/leased/leasedFleet.test.ts
+++ b/packages/coordination/src/leased/leasedFleet.test.ts
@@ -12,10 +12,10 @@
 
 interface AgentCase {
   zone?: string
-  /** Tasks that the agent has told room for. */
+  /** Number of tasks that fit into the free capacity that the agent reported. */
   freeTasks: number
   slowness?: number
-  /** When its last frame was read, in ms before now. */
+  /** Time since its last frame was received. */
   receivedAgoMs?: number
 }
 
@@ -29,7 +29,7 @@
   return agent
 }
 
-/** First numbers of neighbouring seeds are alike; far ones are not. */
+/** Distance between seeds: the first random numbers of adjacent seeds are similar. */
 const SEED_STEP = 0x9E3779B1
 
 const fleetOf = (agents: Record<string, AgentCase>, seed = 1): LeasedFleet => {
@@ -58,36 +58,36 @@
   deadlineMs: 5000
 }, 0, 100, () => {})
 
-describe('where a task goes', () => {
+describe('choice of an agent for a task', () => {
   const cases: Array<{ name: string, agents: Record<string, AgentCase>, expected: string | undefined }> = [
-    { name: 'nowhere without room', agents: { a: { freeTasks: 0 } }, expected: undefined },
-    { name: 'to the only one with room', agents: { a: { freeTasks: 0 }, b: { freeTasks: 1 } }, expected: 'b' },
-    { name: 'to its own availability zone', agents: { a: { freeTasks: 5, zone: 'there' }, b: { freeTasks: 5 } }, expected: 'b' },
-    { name: 'elsewhere rather than to a last place', agents: { a: { freeTasks: 1 }, b: { freeTasks: 5, zone: 'there' } }, expected: 'b' },
-    { name: 'not to a last place that was told a while ago', agents: { a: { freeTasks: 1, receivedAgoMs: 20 } }, expected: undefined },
-    { name: 'to an agent that has told much room a while ago', agents: { a: { freeTasks: 5, receivedAgoMs: 100 } }, expected: 'a' },
-    { name: 'not to an agent that has been silent', agents: { a: { freeTasks: 5, receivedAgoMs: 500 } }, expected: undefined },
-    { name: 'to a last place rather than to a slow endpoint', agents: { a: { freeTasks: 1 }, b: { freeTasks: 5, slowness: 1.5 } }, expected: 'a' }
+    { name: 'no agent if none has free capacity', agents: { a: { freeTasks: 0 } }, expected: undefined },
+    { name: 'the only agent with free capacity', agents: { a: { freeTasks: 0 }, b: { freeTasks: 1 } }, expected: 'b' },
+    { name: 'an agent in the availability zone of the entry', agents: { a: { freeTasks: 5, zone: 'there' }, b: { freeTasks: 5 } }, expected: 'b' },
+    { name: 'an agent in another zone rather than the last free capacity in this one', agents: { a: { freeTasks: 1 }, b: { freeTasks: 5, zone: 'there' } }, expected: 'b' },
+    { name: 'no agent if the last free capacity was reported 20 ms ago', agents: { a: { freeTasks: 1, receivedAgoMs: 20 } }, expected: undefined },
+    { name: 'an agent that reported ample free capacity 100 ms ago', agents: { a: { freeTasks: 5, receivedAgoMs: 100 } }, expected: 'a' },
+    { name: 'no agent if it has been silent for 500 ms', agents: { a: { freeTasks: 5, receivedAgoMs: 500 } }, expected: undefined },
+    { name: 'the last free capacity of an agent rather than a slow endpoint', agents: { a: { freeTasks: 1 }, b: { freeTasks: 5, slowness: 1.5 } }, expected: 'a' }
   ]
   it.each(cases)('$name', ({ agents, expected }) => {
     expect(fleetOf(agents).choose(JOB, 0)?.agentId).toBe(expected)
   })
 
-  it('entries with the same view do not all choose the same agent', () => {
+  it('differs between entries with the same view', () => {
     const agents = Object.fromEntries(Array.from({ length: 10 }, (_, index) => [`a${index}`, { freeTasks: 5 }]))
     const chosen = new Set(Array.from({ length: 10 }, (_, seed) => fleetOf(agents, seed).choose(JOB, 0)!.agentId))
     expect(chosen.size).toBeGreaterThan(4)
   })
 
-  it('the roomier one of two is taken', () => {
+  it('prefers the agent with more free capacity', () => {
     const agents = { full: { freeTasks: 2 }, empty: { freeTasks: 9 } }
     const chosen = Array.from({ length: 100 }, (_, seed) => fleetOf(agents, seed).choose(JOB, 0)!.agentId)
     expect(chosen.filter((id) => id === 'empty').length).toBeGreaterThan(60)
   })
 
   const preferredCases = [
-    { name: 'stay together at an agent that has room left', freeTasks: 5, expected: 'preferred' },
-    { name: 'do not take its last place', freeTasks: 1, expected: 'other' }
+    { name: 'are placed at one agent while it has capacity to spare', freeTasks: 5, expected: 'preferred' },
+    { name: 'do not take the last free capacity of that agent', freeTasks: 1, expected: 'other' }
   ]
   it.each(preferredCases)('tasks of one job $name', ({ freeTasks, expected }) => {
     const fleet = fleetOf({ preferred: { freeTasks }, other: { freeTasks: 9 } })
--- a/packages/coordination/src/leased/leasedFleet.ts
+++ b/packages/coordination/src/leased/leasedFleet.ts
@@ -9,76 +9,82 @@
 import { LeasedQueue } from './leasedQueue.js'
 import { LoadRecord } from './loadRecord.js'
 
-/** Queue and endpoints' health of one service. */
+/** Queue, load and endpoint health of one service. */
 export interface LeasedService {
   queue: LeasedQueue
   load: LoadRecord
   health: EndpointHealth
+  /** Its waiting jobs will be sent soon. */
   isSendScheduled: boolean
-  /** When agents were asked for room last. */
+  /** When agents were last sent requests for capacity, in ms. */
   capacityRequestedAt: number
-  /** The load as it was worked out last. */
+  /** Load as calculated last; undefined if it must be calculated again. */
   cachedLoad: { load: LoadView, calculatedAt: number } | undefined
 }
 
-/** What the fleet needs. */
+/** Options of a {@link LeasedFleet}. */
 export interface LeasedFleetOptions {
   clock: Clock
   random: Random
+  /** Availability zone of the entry. */
   zone: string
+  /** Largest share of a service's endpoints that may be ejected at a time. */
   maxEjectedShare: number
+  /** How long an endpoint is ejected, in ms, by the number of its consecutive ejections. */
   ejectionBackoff: (times: number) => number
-  /** Decisions in place of the product's, for measurements. */
+  /** Replaces the product's decisions, for measurements. */
   policy?: Policy
 }
 
-/** While endpoints join one by one, as after an outage, an entry does not know what it serves: so long after the latest, nothing is forecast. */
+/** While endpoints join one by one, as after an outage, an entry does not know its capacity: no waits are forecast for this time after the latest change. */
 const LEARNING_MS = 300
-/** The load is worked out anew after so long: under overload each frame to an agent rests on it. */
+/** The load is calculated again at most this often, because under overload every frame to an agent needs it. */
 const MAX_LOAD_AGE_MS = 10
 
 const hasSuspect = ({ sent }: LeasedAgent): boolean => [...sent.values()].some(({ job, index }) => job.tasks[index]!.isSuspect)
 
-/** Limits of a choice. */
+/** Options of {@link LeasedFleet.choose}. */
 export interface ChooseOptions {
+  /** Agent that must not be chosen. */
   except?: LeasedAgent
+  /** Agent to choose if it is among the best, because starts that are sent together cost one message. */
   preferred?: LeasedAgent | undefined
 }
 
-/** Agents that an entry knows, and where among them a task goes. */
+/** The agents that an entry knows, the queues of their services, and the choice of an agent for a task. */
 export class LeasedFleet {
+  /** Services by name. */
   readonly services = new Map<string, LeasedService>()
-  /** The latest process of each agent. */
+  /** The latest process of each agent, by agent id. */
   readonly agents = new Map<string, LeasedAgent>()
-  /** Zones whose endpoints count for nothing: neither as places nor as capacity. */
+  /** Evacuated zones. Their endpoints get no tasks and do not count as capacity. */
   readonly evacuations = new EvacuationList()
 
-  /** Which stamps agents are echoed while jobs of other entries run here. */
+  /** Limits the timestamps echoed to agents while jobs of other entries run here. */
   readonly echoLimits = new EchoLimits()
-
-  /** When the latest endpoint was heard of. */
+  /** When the set of usable endpoints changed last, in ms. */
   private endpointsChangedAt = -Infinity
 
   constructor (private readonly options: LeasedFleetOptions) {}
 
-  /** Endpoints were heard of, or may be used again. */
+  /** To be called when an endpoint was reported or zones were evacuated or restored: earlier load says nothing of the new capacity. */
   onEndpointsChanged (): void {
     this.endpointsChangedAt = this.options.clock.now()
     for (const service of this.services.values()) service.cachedLoad = undefined
   }
 
-  /** The decisions. */
+  /** The decisions in use. */
   get policy (): Policy {
     return this.options.policy ?? POLICY
   }
 
-  /** Agents of a service that take work. */
+  /** Agents of a service that take starts. */
   agentsOf (service: string): LeasedAgent[] {
     return [...this.agents.values()].filter((agent) =>
       agent.service === service && agent.link !== undefined && !agent.isLeaving && !this.evacuations.has(agent.zone))
   }
 
-  /** A service, made at its first mention. */
+  /** Returns a service, creating it on first use. */
   serviceOf (name: string): LeasedService {
     const known = this.services.get(name)
     if (known !== undefined) return known
@@ -90,17 +96,17 @@
     return service
   }
 
-  /** The records of the agent's service. */
+  /** Endpoint health of the agent's service; undefined if the agent has none. */
   healthOf (agent: LeasedAgent): EndpointHealth | undefined {
     return this.services.get(agent.service)?.health
   }
 
-  /** Thousandths of a core that a service's endpoints have, all together. */
+  /** Processor capacity of all endpoints of a service, in thousandths of a core. */
   capacityMilli (service: string): number {
     return this.agentsOf(service).reduce((sum, { capacity }) => sum + capacity.cpuMilli, 0)
   }
 
-  /** Jobs of a kind of which nothing was started. */
+  /** Number of waiting jobs of a kind of which no task may have run. */
   pendingOf (kind: string): number {
     let pending = 0
     for (const { queue } of this.services.values()) {
@@ -109,12 +115,12 @@
     return pending
   }
 
-  /** Queues that got less lately than what is kept for them, of all services. */
+  /** Number of queues, over all services, that got less than their floors lately. */
   get queuesBelowFloor (): number {
     return [...this.services.keys()].reduce((sum, name) => sum + this.loadOf(name).queues.filter(isBelowFloor).length, 0)
   }
 
-  /** Processor share in use by this entry's orders. */
+  /** Processor capacity in use by this entry's runs, in thousandths of a core. */
   runningMilli (service: string): number {
     let milli = 0
     for (const agent of this.agentsOf(service)) {
@@ -123,7 +129,7 @@
     return milli
   }
 
-  /** What this entry serves of a service. */
+  /** Load of a service at this entry, at most 10 ms old. */
   loadOf (name: string): LoadView {
     const service = this.serviceOf(name)
     const now = this.options.clock.now()
@@ -141,16 +147,18 @@
     return { servedMilli, queues: this.policy.shares(servedMilli, load.queues) }
   }
 
-  /** The priority with which this entry wants room at the service's endpoints, if any task waits. */
+  /** Priority of this entry's demand for free capacity of a service; undefined if no task waits. */
   demandPriority (name: string): number | undefined {
     const service = this.services.get(name)
     return service === undefined || service.queue.size === 0 ? undefined : service.queue.demandPriority(this.options.clock.now(), this.loadOf(name))
   }
 
   /**
-   * The agent that a task goes to; nothing if it should wait.
+   * Chooses an agent for a task.
    *
-   * @param near - taken if it is among the best, as starts that travel together cost one message
+   * @param job - job of the task
+   * @param index - index of the task
+   * @returns undefined if the task should wait
    */
   choose (job: LeasedJob, index: number, { except, preferred: near }: ChooseOptions = {}): LeasedAgent | undefined {
     const { zone, clock, random } = this.options
--- a/packages/coordination/src/leased/leasedJob.ts
+++ b/packages/coordination/src/leased/leasedJob.ts
@@ -4,96 +4,103 @@
 import type { JobView, QueueShare, Resources } from '@hazellift/decisions'
 import type { Reason } from '@hazellift/protocol'
 
-/** A job that is not kept, as its caller submitted it. */
+/** An ephemeral job as its caller submitted it: its claim and answer do not outlive the entry. */
 export interface LeasedJobSpec {
   workspace: string
   id: string
-  /** The caller's name for its request; logs only. */
+  /** The caller's name for its request; used in logs only. */
   requestId: string
   service: string
   payload: string
   /** Number of tasks. */
   count: number
-  /** What each task uses. */
+  /** Resources that each task uses. */
   need: Resources
-  /** The caller's rough guess of one task's run time, in ms; 0 for none. */
+  /** The caller's rough estimate of one task's run time, in ms; 0 for none. */
   estimateMs: number
-  /** What a task may be of; tasks of one kind are compared with each other. */
+  /** Kind of the tasks; run times are learned and compared per kind. */
   kind: string
-  /** 0 goes first. */
+  /** 0 is the most urgent. */
   priority: number
-  /** Runs of one task that may fail by its own fault or the endpoint's. */
+  /** Number of failed runs of one task after which the job fails; only failures by fault of the task or its endpoint count. */
   attempts: number
-  /** What the answer should take. */
+  /** Response time to meet. */
   objective: Objective
   /** How long the caller waits, in ms. */
   deadlineMs: number
-  /** The entry that keeps the caller, where it is another one. */
+  /** The entry that took the job from its caller, if it handed the job on to this one. */
   originEntry?: OriginEntry | undefined
 }
 
-/** Response time asked for: `stretch` times the run time of a task, and `slackMs` more. */
+/** Requested response time: `stretch` times the run time of a task plus `slackMs`. */
 export interface Objective {
   stretch: number
   slackMs: number
-  /** An answer that takes more than this many times as long is of no use. */
+  /** An answer that takes more than this many times the requested response time is of no use. */
   lateFactor: number
 }
 
-/** Nothing of the job was started and nothing will be. */
+/** The job was refused: none of its tasks was started or will be. */
 export interface LeasedRefusal {
   type: 'refused'
   reason: Reason
   message: string
   retryAfterMs: number
-  /** What its queue got and what was kept for it, if it was refused for want of room. */
+  /** What its queue got, and its floor, if it was refused for lack of capacity. */
   share?: QueueShare | undefined
 }
 
-/** How a job that is not kept ended. */
+/** How an ephemeral job ended. */
 export type LeasedJobEnd =
   | { type: 'complete' }
   | { type: 'failed', reason: Reason, message: string }
   | LeasedRefusal
 
-/** Where a task stands at the entry. */
+/** State of a task at the entry. */
 export const LEASED_TASK_STATES = {
   queued: 'queued',
-  /** Ordered at an agent; not proved to be over. */
+  /** Sent to an agent; the run is not confirmed terminated. */
   sent: 'sent',
   done: 'done'
 } as const
 
-/** One task at its entry. */
+/** State of one task at the entry that dispatches it. */
 export interface LeasedTaskRecord {
   state: typeof LEASED_TASK_STATES[keyof typeof LEASED_TASK_STATES]
+  /** Number of the current attempt, from 0. */
   attempt: number
-  /** Runs that failed. */
+  /** Runs that failed by fault of the task or its endpoint. */
   failures: number
-  /** Agents where a run failed or was too slow. */
+  /** Agents that refused a start of the task, or where a run of it failed, crashed the endpoint or was too slow. */
   avoidedAgents: Set<string>
+  /** Its run is being stopped, to run elsewhere. */
   isMoving: boolean
-  /** An endpoint crashed under it; it may be the cause. */
+  /** An endpoint crashed under the task, which may be the cause. */
   isSuspect: boolean
 }
 
-/** A job at its entry. */
+/** A job at the entry that dispatches it. */
 export interface LeasedJob extends LeasedJobSpec, Omit<JobView, keyof LeasedJobSpec> {
+  /** Key of workspace and id. */
   key: string
-  /** From then on nobody waits; in ms on the entry's monotonic clock, as the times of its view. */
+  /** End of the caller's wait, in ms on the entry's monotonic clock, like the times of {@link JobView}. */
   deadlineAt: number
   tasks: LeasedTaskRecord[]
-  /** Tasks that wait to be sent, next one last. */
+  /** Indexes of the tasks that wait to be sent, the next one last. */
   queue: number[]
+  /** Tasks that are done. */
   doneCount: number
-  /** Orders not proved to be over. */
+  /** Runs sent to agents that are not confirmed terminated. */
   unterminatedRuns: number
-  /** Orders sent that are not proved void: these tasks ran, run or may run. */
+  /** Starts sent, less those confirmed never to have run. */
   mayHaveRun: number
+  /** Longest run of a task that is done; 0 while none is. */
   longestRunMs: number
+  /** How the job ended; runs may not be terminated yet. */
   end: LeasedJobEnd | undefined
+  /** Called once, when the job ends. */
   onEnd: (end: LeasedJobEnd) => void
-  /** Called once no order of it can run any more. */
+  /** Called once, when the job has ended and all its runs are confirmed terminated. */
   onTerminated: (() => void) | undefined
 }
 
@@ -101,7 +108,7 @@
   state: LEASED_TASK_STATES.queued, attempt: 0, failures: 0, avoidedAgents: new Set(), isMoving: false, isSuspect: false
 })
 
-/** Part of the response time that no run shows: the way to the caller and back, orders and looks at the endpoint, in ms. */
+/** Part of the response time outside the runs, in ms: network time to and from the caller, and starting and polling at the endpoint. */
 const OVERHEAD_MS = 15
 
 const timesOf = ({ objective, deadlineMs }: LeasedJobSpec, arrivedAt: number, expectedMs: number) => {
@@ -117,12 +124,12 @@
 }
 
 /**
- * A job with all its tasks queued.
+ * Creates a job with all its tasks queued.
  *
  * @param spec - what the caller submitted
- * @param arrivedAt - on this process's monotonic clock
- * @param expectedMs - run time of one task, as learned
- * @param onEnd - told of the end, once
+ * @param arrivedAt - in ms on this process's monotonic clock
+ * @param expectedMs - run time to expect of one task
+ * @param onEnd - called once, when the job ends
  */
 export const createLeasedJob = (spec: LeasedJobSpec, arrivedAt: number, expectedMs: number, onEnd: (end: LeasedJobEnd) => void): LeasedJob => ({
   ...spec,
--- a/packages/coordination/src/leased/leasedJobs.ts
+++ b/packages/coordination/src/leased/leasedJobs.ts
@@ -5,14 +5,15 @@
 import type { JobDispatcher } from '../handoff/types.js'
 import type { LeasedJob, LeasedJobEnd, LeasedJobSpec } from './leasedJob.js'
 
-/** A caller's hold on a job. */
+/** A caller's wait for a job. */
 export interface Attachment {
+  /** Resolves when the job ends. */
   end: Promise<LeasedJobEnd>
-  /** The caller is gone; without any caller left the job is stopped. */
+  /** To be called when the caller stops waiting. The job is cancelled when no caller remains. */
   leave: () => void
 }
 
-/** Where a job stands, as its caller may ask. */
+/** State of a job as reported to its caller. */
 export type LeasedJobState = 'queued' | 'running' | LeasedJobEnd['type']
 
 interface OpenJob {
@@ -26,16 +27,17 @@
   at: number
 }
 
-/** How long an answer is given again to a submission that arrives once more, in ms. */
+/** How long a repeated submission gets the answer of the first one, in ms. */
 const ANSWER_WINDOW_MS = 10_000
-/** Failures that another try would only repeat. */
+/** Failures that a new attempt is expected to repeat. */
 const FINAL_FAILURES: ReadonlySet<Reason> = new Set([REASONS.taskFailed, REASONS.taskCrashesEndpoints])
 const MAX_ANSWERS = 10_000
 
 /**
- * Jobs that are not kept, by key. A submission that arrives again is the same
- * job while it runs here, and gets the same answer for some seconds. One that
- * was stopped may run again, but only when nothing of it runs any more.
+ * Ephemeral jobs by key, and the callers that wait for them. A repeated submission
+ * attaches to the job while it is open, and gets its answer for some seconds
+ * afterwards. A job that was stopped may be submitted again, but starts only once all
+ * its earlier runs are confirmed terminated.
  */
 export class LeasedJobs {
   private readonly open = new Map<string, OpenJob>()
@@ -43,12 +45,12 @@
 
   constructor (private readonly clock: Clock, private readonly dispatcher: JobDispatcher) {}
 
-  /** Jobs that callers wait for. */
+  /** Number of open jobs. */
   get size (): number {
     return this.open.size
   }
 
-  /** Submits a job, or attaches to it. */
+  /** Submits a job, or attaches to it if it is known. */
   submit (spec: LeasedJobSpec): Attachment {
     const key = submissionKey(spec.workspace, spec.id)
     const recent = this.answerOf(key)
@@ -60,7 +62,7 @@
     return this.begin(spec, key)
   }
 
-  /** Where a job stands; undefined if it is not known here. */
+  /** State of a job; undefined if it is not known here. */
   stateOf (workspace: string, id: string): LeasedJobState | undefined {
     const key = submissionKey(workspace, id)
     const job = this.open.has(key) ? this.dispatcher.find(key) : undefined
@@ -68,7 +70,11 @@
     return this.answerOf(key)?.type
   }
 
-  /** Ends a job early. False if it is not known here. */
+  /**
+   * Ends a job early.
+   *
+   * @returns false if it is not open here
+   */
   cancel (workspace: string, id: string): boolean {
     const known = this.open.get(submissionKey(workspace, id))
     if (known === undefined) return false
@@ -76,7 +82,11 @@
     return true
   }
 
-  /** Ends all that is open, for a stop whose grace time is over; gives the keys. */
+  /**
+   * Ends all open jobs, when the entry stops and its grace time is over.
+   *
+   * @returns keys of the jobs
+   */
   cutAll (): string[] {
     const keys = [...this.open.keys()]
     for (const { job } of [...this.open.values()]) this.dispatcher.cancel(job, REASONS.stopCut, 'the entry stopped before the job ended')
@@ -105,7 +115,7 @@
         if (hasLeft) return
         hasLeft = true
         open.callers--
-        if (open.callers === 0) this.dispatcher.cancel(open.job, REASONS.callerGone, 'the caller has gone')
+        if (open.callers === 0) this.dispatcher.cancel(open.job, REASONS.callerGone, 'every caller of the job has disconnected')
       }
     }
   }
@@ -134,7 +144,7 @@
     }
   }
 
-  /** Only what stays true is remembered: a refused or stopped job may be submitted again. */
+  /** Remembers only final answers: a refused or stopped job may be submitted again. */
   private remember (key: string, end: LeasedJobEnd): void {
     const isFinal = end.type === 'complete' || (end.type === 'failed' && FINAL_FAILURES.has(end.reason))
     if (!isFinal) return
--- a/packages/coordination/src/leased/leasedQueue.test.ts
+++ b/packages/coordination/src/leased/leasedQueue.test.ts
@@ -7,15 +7,15 @@
 const NOW = 1000
 
 interface Case {
-  /** When it arrived, in ms before now. */
+  /** Time since its arrival. */
   ageMs: number
   priority?: number
   expectedMs?: number
-  /** Starts sent and not proved void. */
+  /** Starts sent, less those confirmed never to have run. */
   mayHaveRun?: number
 }
 
-/** Its answer is in time within 260 ms with the default run time. */
+/** A job whose answer is in time within 260 ms of its arrival, with the default run time. */
 const jobOf = (id: string, { ageMs, priority = 0, expectedMs = 100, mayHaveRun = 0 }: Case): LeasedJob => ({
   ...createLeasedJob({
     workspace: 'w',
@@ -35,13 +35,13 @@
   mayHaveRun
 })
 
-describe('the order of jobs that wait', () => {
+describe('order of waiting jobs', () => {
   const cases: Array<{ name: string, jobs: Record<string, Case>, expected: string[] }> = [
-    { name: 'the one that must start sooner first', jobs: { young: { ageMs: 0 }, old: { ageMs: 50 } }, expected: ['old', 'young'] },
-    { name: 'by priority before that', jobs: { low: { ageMs: 50, priority: 2 }, high: { ageMs: 0 } }, expected: ['high', 'low'] },
-    { name: 'one that cannot be in time any more last', jobs: { late: { ageMs: 170 }, low: { ageMs: 0, priority: 2 } }, expected: ['low', 'late'] },
-    { name: 'one that could only just be in time counts as late', jobs: { close: { ageMs: 145 }, low: { ageMs: 0, priority: 2 } }, expected: ['low', 'close'] },
-    { name: 'one of which a task was started is finished, late or not', jobs: { begun: { ageMs: 400, mayHaveRun: 1 }, young: { ageMs: 0 } }, expected: ['begun', 'young'] }
+    { name: 'a job that must start sooner goes first', jobs: { young: { ageMs: 0 }, old: { ageMs: 50 } }, expected: ['old', 'young'] },
+    { name: 'a more urgent priority goes before a job that must start sooner', jobs: { low: { ageMs: 50, priority: 2 }, high: { ageMs: 0 } }, expected: ['high', 'low'] },
+    { name: 'a job that cannot be in time any more goes last', jobs: { late: { ageMs: 170 }, low: { ageMs: 0, priority: 2 } }, expected: ['low', 'late'] },
+    { name: 'a job that could only just be in time counts as late', jobs: { close: { ageMs: 145 }, low: { ageMs: 0, priority: 2 } }, expected: ['low', 'close'] },
+    { name: 'a job with a started task goes first, even if it is late', jobs: { begun: { ageMs: 400, mayHaveRun: 1 }, young: { ageMs: 0 } }, expected: ['begun', 'young'] }
   ]
   it.each(cases)('$name', ({ jobs, expected }) => {
     const queue = new LeasedQueue(order)
--- a/packages/coordination/src/leased/leasedQueue.ts
+++ b/packages/coordination/src/leased/leasedQueue.ts
@@ -2,13 +2,13 @@
 import type { LoadView, Order } from '@hazellift/decisions'
 import type { LeasedJob } from './leasedJob.js'
 
-/** Jobs of one service that have tasks to send. */
+/** The jobs of one service that have tasks waiting to be sent. */
 export class LeasedQueue {
   private readonly jobs = new Set<LeasedJob>()
 
   constructor (private readonly order: Order) {}
 
-  /** Jobs with tasks that wait. */
+  /** Number of waiting jobs. */
   get size (): number {
     return this.jobs.size
   }
@@ -17,12 +17,12 @@
     return this.jobs.values()
   }
 
-  /** The priority with which the first job competes for room with those of other entries; undefined if none waits. */
+  /** Most urgent priority with which a job competes with those of other entries for free capacity; undefined if none waits. */
   demandPriority (now: number, { queues }: LoadView): number | undefined {
     const priorityOf = offeredPriority(queues)
     let first: number | undefined
     for (const job of this.jobs) {
-      // One that is late has no claim to what is kept for its queue.
+      // A late job has no claim to the floor of its queue.
       const priority = isLate(job, now) ? job.priority : priorityOf(job.priority)
       if (first === undefined || priority < first) first = priority
     }
@@ -37,7 +37,7 @@
     this.jobs.delete(job)
   }
 
-  /** Jobs in the order in which they go, at this moment. */
+  /** Returns the waiting jobs in the order in which they are to be sent. */
   inOrder (now: number, load?: LoadView): LeasedJob[] {
     return this.order(this.jobs, now, load)
   }
--- a/packages/coordination/src/leased/leasedSender.ts
+++ b/packages/coordination/src/leased/leasedSender.ts
@@ -8,34 +8,35 @@
 import { LEASED_TASK_STATES } from './leasedJob.js'
 import type { LeasedJob } from './leasedJob.js'
 
-/** What sending needs. */
+/** Dependencies of a {@link LeasedSender}. */
 export interface LeasedSenderOptions {
   clock: Clock
   random: Random
   fleet: LeasedFleet
-  /** Runs `fn` after the events that are ready now. */
+  /** Runs `fn` after the events that are already pending. */
   defer: (fn: () => void) => void
-  /** Starts went out. */
+  /** Called when starts of tasks were sent to an agent; `freeCapacity` is what then remains there. */
   onSent: (job: LeasedJob, agentId: string, tasks: number[], freeCapacity: Resources) => void
 }
 
-/** How long a start may wait at its agent for room that other entries' tasks took meanwhile. */
+/** How long a start may wait at its agent for capacity that other entries' tasks took in the meantime. */
 const MAX_AGENT_WAIT_MS = 20
 
 /**
- * Agents that are asked for room at once, and the pause before the next ones. A
- * queue that is empty again after a moment has then not cost a frame to each
- * agent and back: 12.5 frames a task instead of 13.9, worth 0.985 instead of
- * 0.977. Emulated: 12 entries, 55 endpoints at 0.93 of their capacity, 6 seeds.
+ * Number of agents that are sent a request for capacity at a time, and the pause
+ * before the next ones. Requests to all agents at once would cost a frame to each of
+ * them and back even if the queue is empty a moment later: with 12 entries and 55
+ * endpoints at 93% of their capacity, 13.9 frames a task instead of 12.5, and answers
+ * that earn 0.977 of their value instead of 0.985.
  */
 const REQUEST_BATCH = 6
 const REQUEST_INTERVAL_MS = 10
 
-/** Sends what waits at an entry to agents that have told room, in the queue's order. */
+/** Sends waiting tasks to agents with free capacity, in the order of their queue, and requests capacity for the rest. */
 export class LeasedSender {
   constructor (private readonly options: LeasedSenderOptions) {}
 
-  /** Looks at a service's queue soon, once for whatever changes until then. */
+  /** Schedules the sending of a service's waiting jobs; calls before it runs are merged into one. */
   schedule (name: string): void {
     const { fleet, defer } = this.options
     const service = fleet.serviceOf(name)
@@ -47,7 +48,7 @@
     })
   }
 
-  /** The same for all services. */
+  /** Schedules the sending for all services. */
   scheduleAll (): void {
     for (const service of this.options.fleet.services.keys()) this.schedule(service)
   }
@@ -56,28 +57,28 @@
     const { queue } = service
     for (const job of queue.inOrder(this.options.clock.now(), this.options.fleet.loadOf(name))) {
       if (this.place(job)) queue.remove(job)
-      // A job of another entry may wait for that entry's sign of life; this one's own do not wait behind it.
+      // A handed-on job may wait until its origin entry is known to be alive; jobs behind it do not wait for that.
       else if (job.originEntry === undefined) break
     }
     if (queue.size > 0) this.requestCapacity(name, service)
   }
 
-  /** Some agents that do not know yet that tasks wait here are told; more of them as long as tasks wait. */
+  /** Notifies some of the agents that do not know of this entry's demand; more of them as long as tasks wait. */
   private requestCapacity (name: string, service: LeasedService): void {
     const { fleet, clock, random } = this.options
     if (clock.now() - service.capacityRequestedAt < REQUEST_INTERVAL_MS) return
     service.capacityRequestedAt = clock.now()
     const uninformed = fleet.agentsOf(name).filter(({ knowsDemand }) => !knowsDemand)
-    // From a random one on: entries that run short together ask different agents.
+    // Starts at a random agent, so that entries that lack capacity at the same time notify different ones.
     const first = Math.floor(random() * uninformed.length)
     const recipients = [...uninformed.slice(first), ...uninformed.slice(0, first)].slice(0, REQUEST_BATCH)
     for (const { link } of recipients) link?.add(() => {})
   }
 
   /**
-   * Sends as many tasks of the job as there is room for.
+   * Sends as many waiting tasks of the job as agents can take.
    *
-   * @returns false if some are left
+   * @returns false if some still wait
    */
   private place (job: LeasedJob): boolean {
     const placed = new Map<LeasedAgent, number[]>()
@@ -106,7 +107,7 @@
     agent.link!.add((frame) => { frame.leasedStarts.push(start) })
   }
 
-  /** From now on the task may run there. */
+  /** Records a start that is being sent: from now on the task may run at the agent's endpoint. */
   private record (agent: LeasedAgent, job: LeasedJob, index: number): void {
     const { clock, fleet } = this.options
     const task = job.tasks[index]!
--- a/packages/coordination/src/leased/leasedSessions.ts
+++ b/packages/coordination/src/leased/leasedSessions.ts
@@ -13,43 +13,45 @@
 import { provedOverMs } from './times.js'
 import type { LeaseTimes } from './times.js'
 
-/** What sessions tell their owner, for logs and metrics. */
+/** Events of an entry's sessions with agents, for logs and metrics. */
 export interface LeasedSessionEvents {
+  /** What the entry knows of an agent has changed. */
   agentChanged: (agent: LeasedAgent, change: 'session_open' | 'session_closed' | 'endpoint' | 'capacity' | 'leaving') => void
+  /** An agent with tasks of this entry was silent for so long that their runs are confirmed terminated. */
   agentLost: (agentId: string, silentMs: number, tasks: number) => void
-  /** An agent holds a newer configuration document than this entry. */
+  /** An agent sent a newer configuration document than this entry's. */
   configSeen: (version: bigint, document: Uint8Array) => void
-  /** Other availability zones are evacuated than before. */
+  /** The set of evacuated availability zones has changed. */
   evacuationsChanged: (zones: string[], version: bigint, origin: EvacuationOrigin) => void
 }
 
-/** What sessions with agents need. */
+/** Options of {@link LeasedSessions}. */
 export interface LeasedSessionsOptions {
   clock: Clock
-  /** Notices what the clock has not counted; one of its own if unset. */
+  /** Detects suspensions, which the clock does not count; defaults to a watch of its own. */
   watch?: SuspensionWatch
   times: LeaseTimes
   fleet: LeasedFleet
   events: LeasedSessionEvents
-  /** An agent told how a run ended; it is in `sent` no more. */
+  /** An agent reported how a run ended; it is already removed from `sent`. */
   onResult: (agent: LeasedAgent, sent: SentRun, result: TaskResult) => void
-  /** A start was never accepted. */
+  /** The agent never accepted a start: the task did not run. */
   onNotStarted: (agent: LeasedAgent, sent: SentRun, reason: Reason) => void
-  /** A run is proved to be over, with whatever it had done. */
+  /** A run is confirmed terminated without a result; the task may have run. */
   onLost: (agent: LeasedAgent, sent: SentRun, reason: Reason) => void
-  /** An agent has told something that may let work of its service go. */
+  /** Waiting jobs of a service may now find an agent. */
   schedule: (service: string) => void
 }
 
-/** Frames of an agent are echoed no more often than this; at most so long and a keep-alive lie between two echoes. */
+/** Shortest time between frames that only echo a timestamp; echoes are at most this and a keep-alive interval apart. */
 const ECHO_INTERVAL_MS = 140
 
 /**
- * An entry's side of its sessions with agents: what they tell, what they are
- * told, and when what was sent to one of them is over.
+ * An entry's side of its sessions with agents: handles their frames, fills the frames
+ * to them, and determines when runs that were sent to an agent are terminated.
  */
 export class LeasedSessions implements SessionDispatcher<LeasedAgent> {
-  /** Processes of agents that another one has replaced, until their orders are over. */
+  /** Earlier processes of agents, until their runs are confirmed terminated. */
   private readonly replacedAgents = new Set<LeasedAgent>()
   private readonly config: ConfigExchange
   private readonly evacuations: EvacuationExchange
@@ -66,39 +68,39 @@
     })
   }
 
-  /** Agents with a session. */
+  /** Number of agents with a session. */
   get connectedAgents (): number {
     let connected = 0
     for (const { link } of this.options.fleet.agents.values()) if (link !== undefined) connected++
     return connected
   }
 
-  /** True once any endpoint was heard of. */
+  /** True once any agent has reported an endpoint. */
   get hasSeenEndpoint (): boolean {
     return this.hasEndpoint
   }
 
-  /** A configuration document came into force here; some agents keep it for other entries. */
+  /** Handles a configuration document that came into force here; some agents store it for other entries. */
   setConfig (version: bigint, document: Uint8Array): void {
     this.config.setConfig(version, document)
   }
 
-  /** The operator's store may hold a newer document than it showed this entry. */
+  /** Sets whether this entry's document is unconfirmed: the operator's store may hold a newer one than it returned. */
   setConfigUnconfirmed (isUnconfirmed: boolean): void {
     this.config.setUnconfirmed(isUnconfirmed)
   }
 
-  /** The operator's list of evacuated zones was read; agents hear of it, and those without a store through them. */
+  /** Handles the operator's list of evacuated zones. Agents receive it, and through them entries that cannot read the store. */
   setEvacuations (evacuations: Pick<Evacuations, 'version' | 'zones'>): void {
     this.evacuations.set(evacuations)
   }
 
-  /** Zones that are evacuated now. */
+  /** Availability zones that are evacuated, in ascending order. */
   get evacuatedZones (): string[] {
     return this.options.fleet.evacuations.zones
   }
 
-  /** Ends what was sent to agents that have been silent for so long that nothing of it runs. */
+  /** Ends the runs of agents that were silent for so long that nothing of them runs. To be called a few tens of times a second. */
   sweep (now: number): void {
     this.watch.look()
     for (const agent of [...this.options.fleet.agents.values(), ...this.replacedAgents]) this.checkLost(agent, now)
@@ -141,7 +143,7 @@
   onFrame (agent: LeasedAgent, link: AgentLink, frame: AgentFrame): void {
     const now = this.options.clock.now()
     this.watch.look()
-    // Where this process stood still, the time that has passed counts before what has arrived meanwhile.
+    // If this process was paused, the time that has passed counts before the frames that arrived in the meantime.
     if (agent.link === link) this.checkLost(agent, now)
     if (agent.link !== link) return
     agent.stampMs = frame.stampMs
@@ -161,8 +163,9 @@
   }
 
   /**
-   * Only tasks that were sent need their authority renewed, as a start renews
-   * it by itself; and an agent that offers room in vain must know.
+   * True if the agent needs a frame now: to renew the entry lease of its runs, or to
+   * learn that this entry has no more demand, so that it offers its capacity to others.
+   * Starts need no extra frame, as the frame that carries them renews the lease.
    */
   private isFrameDue ({ sent, echoedAt, knowsDemand, service }: LeasedAgent, now: number): boolean {
     const hasDemandEnded = knowsDemand && this.options.fleet.services.get(service)?.queue.size === 0
@@ -172,14 +175,14 @@
   private onEvacuations (origin: EvacuationOrigin): void {
     const { fleet, events, schedule } = this.options
     events.evacuationsChanged(fleet.evacuations.zones, fleet.evacuations.version, origin)
-    // What was served so far says nothing of the capacity that is left, or back.
+    // The rate served so far says nothing of the capacity after the change.
     fleet.onEndpointsChanged()
     for (const service of fleet.services.keys()) schedule(service)
   }
 
   private onEndpoint (agent: LeasedAgent, { endpoint, leaving }: AgentFrame): void {
     const { fleet, events } = this.options
-    // What was learned of a life, and whether it is new here, does not change with its capacity.
+    // A change of capacity alone keeps the endpoint's health record.
     if (agent.isSameIncarnation(endpoint!)) return this.onCapacity(agent, endpoint!, leaving)
     fleet.healthOf(agent)?.remove(agent.agentId)
     agent.setEndpoint(endpoint!)
@@ -189,7 +192,7 @@
     this.hasEndpoint = true
     fleet.onEndpointsChanged()
     fleet.serviceOf(agent.service).health.add(agent.agentId)
-    // Its endpoint has shown that nothing of an earlier process of the agent runs any more.
+    // An agent reports its endpoint only once nothing of an earlier agent process runs there.
     for (const earlier of [...this.replacedAgents]) if (earlier.agentId === agent.agentId) this.loseRuns(earlier, REASONS.agentLost)
   }
 
@@ -204,7 +207,7 @@
     this.options.events.agentChanged(agent, 'leaving')
   }
 
-  /** A start that the agent does not hold was never accepted: the earlier session ended before this one began. */
+  /** A start that the agent does not know was never accepted, because the earlier session ended before this one began. */
   private onResume (agent: LeasedAgent, known: string[]): void {
     agent.isResumed = true
     const knownKeys = new Set(known)
@@ -239,7 +242,7 @@
     if (silentMs < provedOverMs(times)) return
     if (agent.sent.size > 0) {
       events.agentLost(agent.agentId, Math.round(silentMs), agent.sent.size)
-      // On this session its agent must hear nothing more that would let them run on.
+      // Another echo on this session would renew the entry lease of runs that end here as terminated.
       this.endSession(agent)
     }
     this.loseRuns(agent, REASONS.agentLost)
@@ -247,9 +250,10 @@
   }
 
   /**
-   * This process may have been suspended: what it has not heard meanwhile, as of
-   * callers, is unknown to it, and agents that doubt their own clocks must not go by
-   * its echoes. They dial again; what runs goes on under the authority that they know.
+   * Ends all sessions, as this process may have been suspended: it does not know what
+   * it missed, for example that callers left, and agents with unverified entry leases
+   * must not rely on its echoes. Agents reconnect, and what runs there goes on under its
+   * present entry lease.
    */
   private endSessions (): void {
     for (const agent of this.options.fleet.agents.values()) this.endSession(agent)
@@ -257,7 +261,7 @@
 
   private endSession (agent: LeasedAgent): void {
     const { link } = agent
-    // A frame that is on its way out echoes nothing.
+    // A frame that is already being sent must echo no timestamp.
     agent.stampMs = 0
     if (link === undefined) return
     agent.link = undefined
@@ -265,7 +269,7 @@
     this.options.events.agentChanged(agent, 'session_closed')
   }
 
-  /** Nothing that was sent to this process of the agent can run any more. */
+  /** Ends all runs sent to an agent process, as none of them can run any more. */
   private loseRuns (agent: LeasedAgent, reason: Reason): void {
     this.replacedAgents.delete(agent)
     const runs = [...agent.sent.values()]
--- a/packages/coordination/src/leased/loadRecord.ts
+++ b/packages/coordination/src/leased/loadRecord.ts
@@ -1,11 +1,11 @@
 import type { QueueLoad } from '@hazellift/decisions'
 
-/** Time over which load is remembered, by half in 0.7 of it: bursts last for seconds, and a queue for less. */
+/** Time constant of the exponential decay of past load (its half-life is 0.7 times that): bursts last for seconds, and a backlog for less. */
 const DECAY_MS = 1000
-/** What is expected counts like so much time under load: an entry that got no room for a moment is not starved for good. */
+/** The expected rate weighs as much as this time of observation. Without it, an entry that got no capacity for a moment would forecast endless waits and refuse its work for good. */
 const PRIOR_MS = 300
 
-/** A sum that fades. */
+/** A sum whose terms decay exponentially with their age. */
 class DecayingSum {
   private sum = 0
   private at = 0
@@ -20,7 +20,7 @@
   }
 }
 
-/** Work of one queue. */
+/** Recent work of one queue, in milli-cores times ms. */
 class QueueRecord {
   readonly arrived = new DecayingSum()
   readonly admitted = new DecayingSum()
@@ -28,7 +28,11 @@
   readonly refused = new DecayingSum()
 }
 
-/** Work that arrived at an entry, and work that it could start while some waited; in milli-cores times ms. */
+/**
+ * Recent load of one service at an entry: how much work arrived, was admitted, started
+ * and refused in each queue, and how much the entry could start while jobs waited.
+ * A queue is the jobs of one priority. Work is in milli-cores times ms.
+ */
 export class LoadRecord {
   private readonly records = new Map<number, QueueRecord>()
   private startedWhileWaiting = 0
@@ -38,28 +42,28 @@
 
   constructor (private readonly now: () => number) {}
 
-  /** A job has come. */
+  /** Records a job that arrived. */
   onArrived (priority: number, work: number): void {
     this.recordOf(priority).arrived.add(work, this.now())
   }
 
-  /** It was taken on. */
+  /** Records a job that was admitted. */
   onAdmitted (priority: number, work: number): void {
     this.recordOf(priority).admitted.add(work, this.now())
   }
 
-  /** It was refused, on arrival or after a wait. */
+  /** Records a job that was refused, on arrival or after a wait. */
   onRefused (priority: number, work: number): void {
     this.recordOf(priority).refused.add(work, this.now())
   }
 
-  /** Work was started, or came back unstarted if negative. */
+  /** Records work that was sent to agents; negative for work that came back without having been started. */
   onStarted (priority: number, work: number): void {
     this.recordOf(priority).started.add(work, this.now())
     if (this.wasWaiting) this.startedWhileWaiting += work
   }
 
-  /** Looks at the queue; to be called a few tens of times a second. */
+  /** Records whether jobs wait. To be called a few tens of times a second: if they do, the time until the next call counts as waiting. */
   recordWaiting (isWaiting: boolean): void {
     const now = this.now()
     const passedMs = now - this.recordedAt
@@ -73,15 +77,15 @@
   }
 
   /**
-   * What can be started while work waits, in milli-cores.
+   * Returns the rate at which work is started while jobs wait, in milli-cores; at least 1.
    *
-   * @param expectedMilli - before anything was seen; Infinity if nothing is known
+   * @param expectedMilli - rate to expect without observations; Infinity if unknown
    */
   servedMilli (expectedMilli: number): number {
     return Math.max(1, (this.startedWhileWaiting + expectedMilli * PRIOR_MS) / (this.waitingMs + PRIOR_MS))
   }
 
-  /** The queues that asked lately. */
+  /** Recent load of each queue at which work has arrived. */
   get queues (): QueueLoad[] {
     const now = this.now()
     return [...this.records].map(([priority, { arrived, admitted, started, refused }]) => ({
--- a/packages/coordination/src/leased/queueShares.test.ts
+++ b/packages/coordination/src/leased/queueShares.test.ts
@@ -3,37 +3,37 @@
 import { describe, expect, it } from 'vitest'
 import { replayQueues } from '../../tests/leased/replayQueues.js'
 
-/** What all queues could get if each were served the same part of what it asks: a quarter more is asked than can be served. */
+/** Share of its arrivals that each queue would get if all were served the same share: 25% more work arrives than can be served. */
 const EVEN_SHARE = 1 / 1.25
-/** No queue may fare worse than the even part by more than this. */
+/** No queue may be served less than the even share by more than this. */
 const MAX_BEHIND = 0.1
 const MIN_SERVED = EVEN_SHARE - MAX_BEHIND
-/** The first queue asks for little. */
+/** The most urgent queue has little work and must get nearly all of it. */
 const MIN_FIRST_SERVED = 0.94
-/** How much worse entries may fare that hear nothing of each other. */
+/** Largest difference between entries without knowledge of each other and a single entry that sees everything. */
 const MAX_DIFFERENCE = 0.05
 
 const servedBy = (entries: number, shares: Shares, seed: number): number[] =>
   [...replayQueues(entries, shares, seed).queues.values()].map(({ inTime, asked }) => inTime / asked)
 const SEEDS = [{ seed: 1 }, { seed: 5 }, { seed: 6 }, { seed: 7 }]
 
-describe('a burst of the last queue, a quarter over what can be served', () => {
-  it.each(SEEDS)('no queue is served far less than the others (seed $seed)', ({ seed }) => {
+describe('a burst of the least urgent queue to 25% over capacity', () => {
+  it.each(SEEDS)('serves no queue far less than the others (seed $seed)', ({ seed }) => {
     const served = servedBy(8, POLICY.shares, seed)
     expect(Math.min(...served)).toBeGreaterThanOrEqual(MIN_SERVED)
     expect(served[0]).toBeGreaterThanOrEqual(MIN_FIRST_SERVED)
   })
 
-  it.each(SEEDS)('by priority alone the last queue would be (seed $seed)', ({ seed }) => {
+  it.each(SEEDS)('serves the least urgent queue far less with priorities alone (seed $seed)', ({ seed }) => {
     expect(Math.min(...servedBy(8, PLAIN_POLICY.shares, seed))).toBeLessThan(MIN_SERVED)
   })
 
-  it.each(SEEDS)('entries that hear nothing of each other do about as well as one that sees all (seed $seed)', ({ seed }) => {
+  it.each(SEEDS)('serves about the same with entries that know nothing of each other as with a single one (seed $seed)', ({ seed }) => {
     const [many, one] = [8, 1].map((entries) => Math.min(...servedBy(entries, POLICY.shares, seed)))
     expect(Math.abs(many! - one!)).toBeLessThanOrEqual(MAX_DIFFERENCE)
   })
 
-  it('no room is free while any job waits', () => {
+  it('leaves no capacity free while a job waits', () => {
     expect(replayQueues(8, POLICY.shares, 1).idle).toBe(0)
   })
 })
--- a/packages/coordination/src/leased/runTimes.ts
+++ b/packages/coordination/src/leased/runTimes.ts
@@ -1,24 +1,31 @@
-/** Weight of the newest run in the average. */
+/** Weight of the newest run in the moving average. */
 const NEWEST_WEIGHT = 0.05
-/** Assumed while nothing is known, in ms. */
+/** Expected run time of a kind that has not been observed, if the caller gave no estimate; in ms. */
 const ASSUMED_RUN_MS = 100
 
-/** Run times learned from observed ends, by kind: callers' guesses are far off. */
+/** Expected run times by kind, learned from finished runs because callers' estimates are far off. */
 export class RunTimes {
   private readonly ratios = new Map<string, number>()
   private readonly means = new Map<string, number>()
 
   /**
-   * Learns from a run that ended well.
+   * Learns from a successful run.
    *
-   * @param estimateMs - what the caller had guessed; 0 for none
+   * @param kind - kind of the task
+   * @param estimateMs - the caller's estimate; 0 for none
+   * @param runMs - measured run time
    */
   observe (kind: string, estimateMs: number, runMs: number): void {
     this.updateAverage(this.means, kind, runMs)
     if (estimateMs > 0) this.updateAverage(this.ratios, kind, runMs / estimateMs)
   }
 
-  /** Expected run time in ms. */
+  /**
+   * Returns the expected run time in ms.
+   *
+   * @param kind - kind of the task
+   * @param estimateMs - the caller's estimate, corrected by the usual error for the kind; 0 for none
+   */
   expect (kind: string, estimateMs: number): number {
     if (estimateMs === 0) return this.means.get(kind) ?? ASSUMED_RUN_MS
     return estimateMs * (this.ratios.get(kind) ?? 1)
--- a/packages/coordination/src/leased/stampHistory.ts
+++ b/packages/coordination/src/leased/stampHistory.ts
@@ -1,19 +1,21 @@
-/** A stamp of another process, and when it was read. */
+/** A timestamp of another process. */
 export interface ReceivedStamp {
+  /** When its frame was received, in ms on this process's clock. */
   receivedAt: number
+  /** The timestamp, in ms on the other process's clock. */
   stampMs: number
 }
 
-/** Stamps that follow each other faster are told apart no further: an older one is always a safe answer. */
+/** A timestamp received sooner after the last recorded one is not recorded: an older one is always safe to echo. */
 const MIN_GAP_MS = 10
-/** Older ones are worth no renewal. */
+/** Timestamps received longer ago are dropped: echoing them would not usefully renew a lease. */
 const RETENTION_MS = 700
 
-/** Which stamps of a process had been read by which moment. */
+/** Remembers which timestamps of a process had been received by a given time. */
 export class StampHistory {
   private readonly stamps: ReceivedStamp[] = []
 
-  /** A stamp was read. */
+  /** Records a timestamp. Times of receipt must not decrease. */
   add (receivedAt: number, stampMs: number): void {
     const last = this.stamps.at(-1)
     if (last !== undefined && receivedAt - last.receivedAt < MIN_GAP_MS) return
@@ -21,7 +23,7 @@
     while (receivedAt - this.stamps[0]!.receivedAt > RETENTION_MS) this.stamps.shift()
   }
 
-  /** The latest that had been read by then, or an older one; undefined if none is known. */
+  /** The latest recorded timestamp received by the given time; undefined if there is none. */
   receivedBy (at: number): ReceivedStamp | undefined {
     return this.stamps.findLast(({ receivedAt }) => receivedAt <= at)
   }
--- a/packages/coordination/src/leased/suspects.ts
+++ b/packages/coordination/src/leased/suspects.ts
@@ -5,24 +5,24 @@
 import type { LeasedAgent, SentRun } from './leasedAgent.js'
 import type { LeasedJob, LeasedJobEnd } from './leasedJob.js'
 
-/** A life of an endpoint that was lost under a run. */
+/** An endpoint incarnation that was lost while it ran a task. */
 interface Loss extends Omit<LossView, 'others'> {
   at: number
 }
 
-/** A place whose endpoint crashed, and a job of which something ran there. */
+/** A crash of an endpoint, and a job of which a task ran there. */
 interface Crash {
   at: number
   place: string
   job: string
 }
 
-/** Told of a task under which an endpoint crashed, and of what follows. */
+/** Called when an endpoint was lost under a task that is now suspect or not started again, with all incarnations lost under it. */
 export type OnSuspect = (job: LeasedJob, index: number, incarnations: string[], verdict: Verdict) => void
 
-/** Crashes that lie no further apart may have one cause. */
+/** Crashes at most this far apart may have a common cause. */
 const SAME_CAUSE_MS = 1000
-/** A job that is submitted again within this time is the same to us, whatever became of it. */
+/** Losses are remembered this long, beyond the end of their job: a job that is submitted again within this time counts as the same one. */
 const MEMORY_MS = 60_000
 const MAX_TASKS = 5000
 const MAX_CRASHES = 2000
@@ -32,8 +32,9 @@
 const taskName = (job: Pick<LeasedJob, 'key'>, index: number): string => `${job.key}/${index}`
 
 /**
- * Tasks of one entry under which endpoints were lost. What is known of a task
- * outlasts its job here, as a caller whose connection broke sends it again.
+ * Tracks the tasks of one entry under which endpoints were lost, to find tasks that
+ * crash endpoints. Losses outlast their job, because a caller whose connection broke
+ * submits the same job again.
  */
 export class Suspects {
   private readonly losses = new Map<string, Loss[]>()
@@ -41,7 +42,11 @@
 
   constructor (private readonly now: () => number, private readonly onSuspect: OnSuspect) {}
 
-  /** How a job ends of which a task was given up; undefined if none was. */
+  /**
+   * Judges all tasks of a job that arrives.
+   *
+   * @returns the job's failure if one of its tasks must not be started again
+   */
   endOf (job: LeasedJob): LeasedJobEnd | undefined {
     if (this.losses.size === 0) return undefined
     for (const index of job.tasks.keys()) {
@@ -52,9 +57,9 @@
   }
 
   /**
-   * A run failed.
+   * Handles a failed run.
    *
-   * @returns how its job ends, if its task is not to be started again
+   * @returns the job's failure if its task must not be started again
    */
   onFailed ({ agentId }: LeasedAgent, { job, index, endpointIncarnation: life }: SentRun, reason: Reason): LeasedJobEnd | undefined {
     if (!LOSS_REASONS.has(reason)) return undefined
@@ -72,7 +77,7 @@
     if (loss.isCrash) this.crashes.push({ at: loss.at, place: loss.place, job: job.key })
     const name = taskName(job, index)
     const losses = [...this.losses.get(name) ?? [], loss]
-    // Set anew, so that the map's order is that of the latest loss.
+    // Deleted first, so that the map is ordered by latest loss.
     this.losses.delete(name)
     this.losses.set(name, losses)
     this.forget(loss.at - MEMORY_MS)
@@ -91,7 +96,7 @@
     return judgeSuspect(losses.map((loss) => ({ ...loss, others: this.othersAt(loss, job.key) })))
   }
 
-  /** Places whose endpoints crashed at that time, and where nothing of the job ran. */
+  /** Number of other agents whose endpoints crashed at about that time without a task of the job. */
   private othersAt ({ at }: Loss, job: string): number {
     const simultaneous = this.crashes.filter((crash) => Math.abs(crash.at - at) <= SAME_CAUSE_MS)
     const ownPlaces = new Set(simultaneous.filter((crash) => crash.job === job).map(({ place }) => place))
@@ -100,10 +105,10 @@
 
   private incarnationsOf (job: LeasedJob, index: number): string[] {
     const losses = this.losses.get(taskName(job, index)) ?? []
-    return [...new Set(losses.map(({ life, isCrash }) => isCrash ? life : `${life} (silent)`))]
+    return [...new Set(losses.map(({ life, isCrash }) => isCrash ? life : `${life} (unresponsive)`))]
   }
 
   private failureOf (job: LeasedJob, index: number): LeasedJobEnd {
-    return { type: 'failed', reason: REASONS.taskCrashesEndpoints, message: `endpoints crashed under task ${index}: ${this.incarnationsOf(job, index).join(', ')}` }
+    return { type: 'failed', reason: REASONS.taskCrashesEndpoints, message: `endpoints crashed while running task ${index}: ${this.incarnationsOf(job, index).join(', ')}` }
   }
 }
