--- a/packages/coordination/src/leased/configExchange.ts
+++ b/packages/coordination/src/leased/configExchange.ts
@@ -3,7 +3,7 @@
 import { ConfigCopy } from './configCopy.js'
 import type { LeasedAgent } from './leasedAgent.js'
 
-/** Dependencies of a {@link ConfigExchange}. */
+/** Dependencies of a ConfigExchange. */
 export interface ConfigExchangeOptions {
   clock: Pick<Clock, 'now'>
   /** Agents that this entry knows, with or without a session. */
@@ -19,7 +19,10 @@
 const REPLICA_COUNT = 3
 /** Pause between documents to replicas: at about 2 KB each, a change takes less than a tenth of a 2 Mbit/s link. */
 const SEND_INTERVAL_MS = 100
-/** Time for the store's watch to deliver a newer document, as it is usually faster than an agent. Not waited for while this entry's document is unconfirmed. */
+/**
+ * Time for the store's watch to deliver a newer document, as it is usually faster than
+ * an agent. An entry without a document, or with an unconfirmed one, does not wait.
+ */
 const REQUEST_DELAY_MS = 300
 /** Time for an agent to answer a request, before the document is requested from another one. */
 const REQUEST_INTERVAL_MS = 250
@@ -106,7 +109,7 @@
     return [...this.options.agents()].filter(({ link, isLeaving }) => link !== undefined && !isLeaving)
   }
 
-  /** Agents that store this entry's document. Entries with the same agents choose the same replicas, so that few agents hold one. */
+  /** Agents that store this entry's document; the same for all entries that know the same agents, so that few hold a copy. */
   private get replicas (): LeasedAgent[] {
     return this.connectedAgents.sort((a, b) => b.config.replicaScore - a.config.replicaScore).slice(0, REPLICA_COUNT)
   }
--- a/packages/coordination/src/leased/echoLimits.ts
+++ b/packages/coordination/src/leased/echoLimits.ts
@@ -8,11 +8,15 @@
 }
 
 /**
- * Jobs of an origin entry that was last known alive longer ago are not started, and
- * it does not limit echoes to agents where it has no run in flight.
+ * Jobs of an origin entry that was last known alive more than this long ago are not
+ * started, and it does not limit echoes to agents where it has no run in flight.
  */
 const MAX_ORIGIN_SILENCE_MS = 150
-/** While an origin entry has no run in flight at an agent, echoes there are not limited to timestamps received longer ago. */
+/**
+ * While an origin entry has no run in flight at an agent, it does not limit echoes there
+ * to a timestamp received more than this long ago, and none of its jobs is started if
+ * that would need such a limit.
+ */
 const MAX_STAMP_AGE_MS = 400
 
 /**
--- a/packages/coordination/src/leased/evacuationExchange.ts
+++ b/packages/coordination/src/leased/evacuationExchange.ts
@@ -2,7 +2,7 @@
 import type { EvacuationList } from './evacuationList.js'
 import type { LeasedAgent } from './leasedAgent.js'
 
-/** Dependencies of an {@link EvacuationExchange}. */
+/** Dependencies of an EvacuationExchange. */
 export interface EvacuationExchangeOptions {
   list: EvacuationList
   /** Agents that this entry knows, with or without a session. */
--- a/packages/coordination/src/leased/leasedAdmission.ts
+++ b/packages/coordination/src/leased/leasedAdmission.ts
@@ -37,8 +37,8 @@
   switch (admission.type) {
     case 'taken': return undefined
     case 'no_capacity': return refuse(REASONS.noEndpoint, `no endpoint serves '${job.service}' now`, policy)
-    case 'too_many': return refuseOverloaded('too many jobs are waiting', job, load, policy)
-    case 'too_late': return refuseOverloaded(`the forecast wait of about ${Math.round(admission.waitMs)} ms is too long`, job, load, policy)
+    case 'too_many': return refuseOverloaded('too many jobs are waiting for the service', job, load, policy)
+    case 'too_late': return refuseOverloaded(`the forecast wait of about ${Math.round(admission.waitMs)} ms is too long for the job`, job, load, policy)
     default: return assertNever(admission)
   }
 }
--- a/packages/coordination/src/leased/leasedAgent.ts
+++ b/packages/coordination/src/leased/leasedAgent.ts
@@ -42,8 +42,11 @@
 /** What an entry knows of one process of an agent, with the runs that it has sent there. */
 export class LeasedAgent {
   readonly agentId: string
+  /** Incarnation of the agent process. */
   readonly incarnation: string
+  /** Availability zone of the agent and its endpoint. */
   readonly zone: string
+  /** Service of the endpoint; empty while the agent has none. */
   service = ''
   /** Incarnation of the endpoint; empty until the agent has confirmed that nothing of an earlier agent process runs there. */
   endpointIncarnation = ''
@@ -55,7 +58,7 @@
   isResumed = false
   /** The agent takes no more starts. */
   isLeaving = false
-  /** Latest timestamp received from the agent, in ms on its clock; 0 if it must not be echoed. */
+  /** Latest timestamp received from the agent, in ms on its clock; 0 if there is none to echo. */
   stampMs = 0
   /** Its timestamps with their times of receipt; empty until another entry may hand on jobs. */
   readonly stamps = new StampHistory()
@@ -71,6 +74,7 @@
   entryCount = 1
   /** The last frame to the agent reported that tasks wait here. */
   knowsDemand = false
+  /** Exchange of configuration documents with the agent. */
   readonly config: ConfigExchangeState
   /** Latest version of the list of evacuated zones that it reported or was sent on this session. */
   evacuationsVersion = 0n
@@ -82,7 +86,7 @@
   private startsSeen = 0
   /** Needs of the starts sent on this session that the reported free capacity does not reflect yet, oldest first. */
   private unseenNeeds: Resources[] = []
-  /** Reported free capacity less these needs; cached because every choice of an agent reads it for all agents. */
+  /** Reported free capacity less `unseenNeeds`; cached because every choice of an agent reads it for all agents. */
   private remaining = NO_CAPACITY
 
   constructor ({ agentId, incarnation, zone }: Hello) {
--- a/packages/coordination/src/leased/leasedDispatcherOptions.ts
+++ b/packages/coordination/src/leased/leasedDispatcherOptions.ts
@@ -23,7 +23,7 @@
   result: (agentId: string, result: TaskResult) => void
 }
 
-/** Options of a {@link LeasedDispatcher}. */
+/** Options of a LeasedDispatcher. */
 export interface LeasedDispatcherOptions extends LeasedFleetOptions {
   times: LeaseTimes
   /** Detects suspensions, which the clock does not count; defaults to a watch of its own. */
--- a/packages/coordination/src/leased/leasedFleet.test.ts
+++ b/packages/coordination/src/leased/leasedFleet.test.ts
@@ -60,14 +60,14 @@
 
 describe('choice of an agent for a task', () => {
   const cases: Array<{ name: string, agents: Record<string, AgentCase>, expected: string | undefined }> = [
-    { name: 'no agent if none has free capacity', agents: { a: { freeTasks: 0 } }, expected: undefined },
-    { name: 'the only agent with free capacity', agents: { a: { freeTasks: 0 }, b: { freeTasks: 1 } }, expected: 'b' },
-    { name: 'an agent in the availability zone of the entry', agents: { a: { freeTasks: 5, zone: 'there' }, b: { freeTasks: 5 } }, expected: 'b' },
-    { name: 'an agent in another zone rather than the last free capacity in this one', agents: { a: { freeTasks: 1 }, b: { freeTasks: 5, zone: 'there' } }, expected: 'b' },
-    { name: 'no agent if the last free capacity was reported 20 ms ago', agents: { a: { freeTasks: 1, receivedAgoMs: 20 } }, expected: undefined },
-    { name: 'an agent that reported ample free capacity 100 ms ago', agents: { a: { freeTasks: 5, receivedAgoMs: 100 } }, expected: 'a' },
-    { name: 'no agent if it has been silent for 500 ms', agents: { a: { freeTasks: 5, receivedAgoMs: 500 } }, expected: undefined },
-    { name: 'the last free capacity of an agent rather than a slow endpoint', agents: { a: { freeTasks: 1 }, b: { freeTasks: 5, slowness: 1.5 } }, expected: 'a' }
+    { name: 'takes no agent if none has free capacity', agents: { a: { freeTasks: 0 } }, expected: undefined },
+    { name: 'takes the only agent with free capacity', agents: { a: { freeTasks: 0 }, b: { freeTasks: 1 } }, expected: 'b' },
+    { name: 'takes the agent in the availability zone of the entry of two with the same free capacity', agents: { a: { freeTasks: 5, zone: 'there' }, b: { freeTasks: 5 } }, expected: 'b' },
+    { name: 'takes an agent in another zone rather than the last free capacity in this one', agents: { a: { freeTasks: 1 }, b: { freeTasks: 5, zone: 'there' } }, expected: 'b' },
+    { name: 'does not take the last free capacity of an agent that reported it 20 ms ago', agents: { a: { freeTasks: 1, receivedAgoMs: 20 } }, expected: undefined },
+    { name: 'takes an agent that reported ample free capacity 100 ms ago', agents: { a: { freeTasks: 5, receivedAgoMs: 100 } }, expected: 'a' },
+    { name: 'takes no agent that has been silent for 500 ms', agents: { a: { freeTasks: 5, receivedAgoMs: 500 } }, expected: undefined },
+    { name: 'takes the last free capacity of an agent rather than a slow endpoint', agents: { a: { freeTasks: 1 }, b: { freeTasks: 5, slowness: 1.5 } }, expected: 'a' }
   ]
   it.each(cases)('$name', ({ agents, expected }) => {
     expect(fleetOf(agents).choose(JOB, 0)?.agentId).toBe(expected)
--- a/packages/coordination/src/leased/leasedFleet.ts
+++ b/packages/coordination/src/leased/leasedFleet.ts
@@ -2,8 +2,8 @@
 import { POLICY, calmest, isBelowFloor } from '@hazellift/decisions'
 import type { LoadView, PlaceContext, Policy } from '@hazellift/decisions'
 import { EndpointHealth } from '../health/endpointHealth.js'
-import { EvacuationList } from './evacuationList.js'
 import { EchoLimits } from './echoLimits.js'
+import { EvacuationList } from './evacuationList.js'
 import type { LeasedAgent } from './leasedAgent.js'
 import type { LeasedJob } from './leasedJob.js'
 import { LeasedQueue } from './leasedQueue.js'
@@ -22,7 +22,7 @@
   cachedLoad: { load: LoadView, calculatedAt: number } | undefined
 }
 
-/** Options of a {@link LeasedFleet}. */
+/** Options of a LeasedFleet. */
 export interface LeasedFleetOptions {
   clock: Clock
   random: Random
@@ -36,14 +36,17 @@
   policy?: Policy
 }
 
-/** While endpoints join one by one, as after an outage, an entry does not know its capacity: no waits are forecast for this time after the latest change. */
+/**
+ * While endpoints join one by one, as after an outage, an entry does not know its
+ * capacity: no waits are forecast for this time after the latest change.
+ */
 const LEARNING_MS = 300
 /** The load is calculated again at most this often, because under overload every frame to an agent needs it. */
 const MAX_LOAD_AGE_MS = 10
 
 const hasSuspect = ({ sent }: LeasedAgent): boolean => [...sent.values()].some(({ job, index }) => job.tasks[index]!.isSuspect)
 
-/** Options of {@link LeasedFleet.choose}. */
+/** Options of LeasedFleet.choose. */
 export interface ChooseOptions {
   /** Agent that must not be chosen. */
   except?: LeasedAgent
@@ -67,7 +70,10 @@
 
   constructor (private readonly options: LeasedFleetOptions) {}
 
-  /** To be called when an endpoint was reported or zones were evacuated or restored: earlier load says nothing of the new capacity. */
+  /**
+   * To be called when an endpoint was reported, or when zones were evacuated or restored:
+   * the load calculated before says nothing of the new capacity.
+   */
   onEndpointsChanged (): void {
     this.endpointsChangedAt = this.options.clock.now()
     for (const service of this.services.values()) service.cachedLoad = undefined
@@ -129,7 +135,7 @@
     return milli
   }
 
-  /** Load of a service at this entry, at most 10 ms old. */
+  /** Load of a service at this entry, as calculated at most `MAX_LOAD_AGE_MS` ago. */
   loadOf (name: string): LoadView {
     const service = this.serviceOf(name)
     const now = this.options.clock.now()
@@ -160,7 +166,7 @@
    * @param index - index of the task
    * @returns undefined if the task should wait
    */
-  choose (job: LeasedJob, index: number, { except, preferred: near }: ChooseOptions = {}): LeasedAgent | undefined {
+  choose (job: LeasedJob, index: number, { except, preferred }: ChooseOptions = {}): LeasedAgent | undefined {
     const { zone, clock, random } = this.options
     const { avoidedAgents, isSuspect } = job.tasks[index]!
     const agents = this.agentsOf(job.service).filter((agent) => agent.isResumed && agent !== except)
@@ -171,7 +177,7 @@
       random,
       maySend: (agent) => this.healthOf(agent)?.maySend(agent.agentId) === true && this.echoLimits.mayStart(job, agent, clock.now()),
       isAvoided,
-      near
+      near: preferred
     }
     const leastLoadedAgent = isSuspect ? this.policy.place(calmest(agents, job.need, { isAvoided, hasSuspect }), job, context) : undefined
     return leastLoadedAgent ?? this.policy.place(agents, job, context)
--- a/packages/coordination/src/leased/leasedJob.ts
+++ b/packages/coordination/src/leased/leasedJob.ts
@@ -83,7 +83,7 @@
 export interface LeasedJob extends LeasedJobSpec, Omit<JobView, keyof LeasedJobSpec> {
   /** Key of workspace and id. */
   key: string
-  /** End of the caller's wait, in ms on the entry's monotonic clock, like the times of {@link JobView}. */
+  /** End of the caller's wait, in ms on the entry's monotonic clock, like the times of JobView. */
   deadlineAt: number
   tasks: LeasedTaskRecord[]
   /** Indexes of the tasks that wait to be sent, the next one last. */
--- a/packages/coordination/src/leased/leasedJobs.ts
+++ b/packages/coordination/src/leased/leasedJobs.ts
@@ -31,6 +31,7 @@
 const ANSWER_WINDOW_MS = 10_000
 /** Failures that a new attempt is expected to repeat. */
 const FINAL_FAILURES: ReadonlySet<Reason> = new Set([REASONS.taskFailed, REASONS.taskCrashesEndpoints])
+/** Largest number of answers that are remembered, to bound memory. */
 const MAX_ANSWERS = 10_000
 
 /**
--- a/packages/coordination/src/leased/leasedSender.ts
+++ b/packages/coordination/src/leased/leasedSender.ts
@@ -8,7 +8,7 @@
 import { LEASED_TASK_STATES } from './leasedJob.js'
 import type { LeasedJob } from './leasedJob.js'
 
-/** Dependencies of a {@link LeasedSender}. */
+/** Dependencies of a LeasedSender. */
 export interface LeasedSenderOptions {
   clock: Clock
   random: Random
--- a/packages/coordination/src/leased/leasedSessions.ts
+++ b/packages/coordination/src/leased/leasedSessions.ts
@@ -25,7 +25,7 @@
   evacuationsChanged: (zones: string[], version: bigint, origin: EvacuationOrigin) => void
 }
 
-/** Options of {@link LeasedSessions}. */
+/** Options of LeasedSessions. */
 export interface LeasedSessionsOptions {
   clock: Clock
   /** Detects suspensions, which the clock does not count; defaults to a watch of its own. */
@@ -164,7 +164,7 @@
 
   /**
    * True if the agent needs a frame now: to renew the entry lease of its runs, or to
-   * learn that this entry has no more demand, so that it offers its capacity to others.
+   * learn that this entry has no more demand, so that it offers no capacity in vain.
    * Starts need no extra frame, as the frame that carries them renews the lease.
    */
   private isFrameDue ({ sent, echoedAt, knowsDemand, service }: LeasedAgent, now: number): boolean {
@@ -182,7 +182,7 @@
 
   private onEndpoint (agent: LeasedAgent, { endpoint, leaving }: AgentFrame): void {
     const { fleet, events } = this.options
-    // A change of capacity alone keeps the endpoint's health record.
+    // A change of capacity alone makes no new endpoint, and its health record stays.
     if (agent.isSameIncarnation(endpoint!)) return this.onCapacity(agent, endpoint!, leaving)
     fleet.healthOf(agent)?.remove(agent.agentId)
     agent.setEndpoint(endpoint!)
--- a/packages/coordination/src/leased/loadRecord.ts
+++ b/packages/coordination/src/leased/loadRecord.ts
@@ -1,8 +1,15 @@
 import type { QueueLoad } from '@hazellift/decisions'
 
-/** Time constant of the exponential decay of past load (its half-life is 0.7 times that): bursts last for seconds, and a backlog for less. */
+/**
+ * Time constant of the decay of past load, whose half-life is 0.7 of it: bursts last for
+ * seconds, and a backlog for less.
+ */
 const DECAY_MS = 1000
-/** The expected rate weighs as much as this time of observation. Without it, an entry that got no capacity for a moment would forecast endless waits and refuse its work for good. */
+/**
+ * The expected rate weighs as much as this time of observation while jobs wait. Without
+ * it, an entry that got no capacity for a moment would be starved for good, because it
+ * would forecast endless waits.
+ */
 const PRIOR_MS = 300
 
 /** A sum whose terms decay exponentially with their age. */
@@ -63,7 +70,10 @@
     if (this.wasWaiting) this.startedWhileWaiting += work
   }
 
-  /** Records whether jobs wait. To be called a few tens of times a second: if they do, the time until the next call counts as waiting. */
+  /**
+   * Records whether jobs wait; if so, the time until the next call counts as time under
+   * load. To be called a few tens of times a second.
+   */
   recordWaiting (isWaiting: boolean): void {
     const now = this.now()
     const passedMs = now - this.recordedAt
--- a/packages/coordination/src/leased/queueShares.test.ts
+++ b/packages/coordination/src/leased/queueShares.test.ts
@@ -10,7 +10,7 @@
 const MIN_SERVED = EVEN_SHARE - MAX_BEHIND
 /** The most urgent queue has little work and must get nearly all of it. */
 const MIN_FIRST_SERVED = 0.94
-/** Largest difference between entries without knowledge of each other and a single entry that sees everything. */
+/** Largest difference in the share of the queue served least, between entries that know nothing of each other and a single entry. */
 const MAX_DIFFERENCE = 0.05
 
 const servedBy = (entries: number, shares: Shares, seed: number): number[] =>
--- a/packages/coordination/src/leased/stampHistory.ts
+++ b/packages/coordination/src/leased/stampHistory.ts
@@ -6,9 +6,9 @@
   stampMs: number
 }
 
-/** A timestamp received sooner after the last recorded one is not recorded: an older one is always safe to echo. */
+/** A timestamp received less than this after the last recorded one is not recorded: an older one is always safe to echo. */
 const MIN_GAP_MS = 10
-/** Timestamps received longer ago are dropped: echoing them would not usefully renew a lease. */
+/** Timestamps received more than this long ago are dropped: to echo them would not usefully renew a lease. */
 const RETENTION_MS = 700
 
 /** Remembers which timestamps of a process had been received by a given time. */
--- a/packages/coordination/src/leased/suspects.ts
+++ b/packages/coordination/src/leased/suspects.ts
@@ -17,13 +17,20 @@
   job: string
 }
 
-/** Called when an endpoint was lost under a task that is now suspect or not started again, with all incarnations lost under it. */
+/**
+ * Called when an endpoint was lost under a task that is now suspect or not started
+ * again, with the endpoint incarnations lost under it so far.
+ */
 export type OnSuspect = (job: LeasedJob, index: number, incarnations: string[], verdict: Verdict) => void
 
 /** Crashes at most this far apart may have a common cause. */
 const SAME_CAUSE_MS = 1000
-/** Losses are remembered this long, beyond the end of their job: a job that is submitted again within this time counts as the same one. */
+/**
+ * How long losses are remembered, even after the end of their job: a job that is
+ * submitted again within this time counts as the same one.
+ */
 const MEMORY_MS = 60_000
+/** Largest numbers of tasks and crashes that are remembered, to bound memory. */
 const MAX_TASKS = 5000
 const MAX_CRASHES = 2000
 
@@ -61,10 +68,10 @@
    *
    * @returns the job's failure if its task must not be started again
    */
-  onFailed ({ agentId }: LeasedAgent, { job, index, endpointIncarnation: life }: SentRun, reason: Reason): LeasedJobEnd | undefined {
+  onFailed ({ agentId }: LeasedAgent, { job, index, endpointIncarnation }: SentRun, reason: Reason): LeasedJobEnd | undefined {
     if (!LOSS_REASONS.has(reason)) return undefined
     const isCrash = reason === REASONS.endpointCrashed
-    this.remember(job, index, { life: `${agentId}/${life}`, place: agentId, isCrash, at: this.now() })
+    this.remember(job, index, { life: `${agentId}/${endpointIncarnation}`, place: agentId, isCrash, at: this.now() })
     const task = job.tasks[index]!
     if (isCrash) task.avoidedAgents.add(agentId)
     const verdict = this.judge(job, index)
@@ -96,7 +103,7 @@
     return judgeSuspect(losses.map((loss) => ({ ...loss, others: this.othersAt(loss, job.key) })))
   }
 
-  /** Number of other agents whose endpoints crashed at about that time without a task of the job. */
+  /** Number of agents whose endpoints crashed at about that time and ran no task of the job. */
   private othersAt ({ at }: Loss, job: string): number {
     const simultaneous = this.crashes.filter((crash) => Math.abs(crash.at - at) <= SAME_CAUSE_MS)
     const ownPlaces = new Set(simultaneous.filter((crash) => crash.job === job).map(({ place }) => place))
