--- a/packages/coordination/src/leased/configExchange.ts
+++ b/packages/coordination/src/leased/configExchange.ts
@@ -48,7 +48,7 @@
 
   /** Handles a document that came into force here. */
   setConfig (version: bigint, document: Uint8Array): void {
-    this.copy.offer(version, document)
+    this.copy.update(version, document)
   }
 
   /** Sets whether the store may hold a newer document than it returned: then one that agents report is requested at once. */
@@ -59,7 +59,7 @@
   /** Handles the document version, and the document if there is one, in a frame from an agent. */
   onFrame (agent: LeasedAgent, { configVersion, config }: AgentFrame): void {
     agent.config.replicaVersion = configVersion
-    if (config.length > 0 && this.copy.offer(configVersion, config)) this.options.onNewer(configVersion, config)
+    if (config.length > 0 && this.copy.update(configVersion, config)) this.options.onNewer(configVersion, config)
     if (configVersion <= this.newestVersion) return
     this.newestVersion = configVersion
     this.newestSince = this.options.clock.now()
--- a/packages/coordination/src/leased/findStragglers.ts
+++ b/packages/coordination/src/leased/findStragglers.ts
@@ -1,4 +1,4 @@
-import type { Move } from '@hazellift/decisions'
+import type { MoveRun } from '@hazellift/decisions'
 import type { LeasedAgent, SentRun } from './leasedAgent.js'
 import type { LeasedFleet } from './leasedFleet.js'
 import type { RunTimes } from './runTimes.js'
@@ -17,9 +17,9 @@
  * @param now - in ms, on the clock of `sentAt`
  * @param move - decides whether a single run is a straggler
  */
-export const findStragglers = (fleet: LeasedFleet, runTimes: RunTimes, now: number, move: Move): Straggler[] => {
+export const findStragglers = (fleet: LeasedFleet, runTimes: RunTimes, now: number, move: MoveRun): Straggler[] => {
   const isStraggler = ({ slowness }: LeasedAgent, { job, sentAt }: SentRun): boolean => move({
-    ranMs: now - sentAt,
+    elapsedMs: now - sentAt,
     expectedMs: job.expectedMs,
     longestRunMs: job.longestRunMs,
     usualMs: runTimes.expect(job.kind, 0),
--- a/packages/coordination/src/leased/leasedAdmission.ts
+++ b/packages/coordination/src/leased/leasedAdmission.ts
@@ -1,5 +1,5 @@
 import { assertNever } from '@hazellift/common'
-import { forecastWait, workLeft } from '@hazellift/decisions'
+import { forecastWait, queuedWork } from '@hazellift/decisions'
 import type { LoadView, Policy } from '@hazellift/decisions'
 import { REASONS } from '@hazellift/protocol'
 import type { LeasedFleet } from './leasedFleet.js'
@@ -60,7 +60,7 @@
     const own = ownWork.get(job.priority) ?? 0
     const waitMs = forecastWait({ all, own }, job.priority, load)
     if (policy.giveUp(job, now, waitMs)) return [{ job, end: refuseOverloaded(`no free capacity in time: the forecast wait is about ${Math.round(waitMs)} ms more`, job, load, policy) }]
-    const work = workLeft(job)
+    const work = queuedWork(job)
     all += work
     ownWork.set(job.priority, own + work)
     return []
--- a/packages/coordination/src/leased/leasedAgent.ts
+++ b/packages/coordination/src/leased/leasedAgent.ts
@@ -65,7 +65,7 @@
   /** The highest timestamp echoed to this agent process, on any session. */
   echoedStampMs = 0
   /** When the last frame from it was received, in ms on the entry's clock. */
-  heardAt = 0
+  receivedAt = 0
   /** When the last frame to it was sent; each frame echoes a timestamp. */
   echoedAt = 0
   /** Recent run times at its endpoint relative to the expected ones, over the tasks of all entries. 1 is as expected. */
@@ -99,7 +99,7 @@
   }
 
   /** Free capacity that remains for further starts. */
-  get room (): Resources {
+  get freeCapacity (): Resources {
     return this.remaining
   }
 
@@ -107,7 +107,7 @@
   connect (link: AgentLink, now: number): void {
     this.link?.close()
     this.link = link
-    this.heardAt = now
+    this.receivedAt = now
     this.isResumed = false
     this.hasReportedEndpoint = false
     this.knowsDemand = false
--- a/packages/coordination/src/leased/leasedDispatcher.ts
+++ b/packages/coordination/src/leased/leasedDispatcher.ts
@@ -1,5 +1,5 @@
 import { create } from '@bufbuild/protobuf'
-import { workLeft } from '@hazellift/decisions'
+import { queuedWork } from '@hazellift/decisions'
 import { REASONS, RevokeSchema, TASK_OUTCOMES } from '@hazellift/protocol'
 import type { Reason, TaskResult } from '@hazellift/protocol'
 import { findStragglers } from './findStragglers.js'
@@ -97,7 +97,7 @@
   submit (spec: LeasedJobSpec, onEnd: (end: LeasedJobEnd) => void): LeasedJob {
     const { clock } = this.options
     const job = createLeasedJob(spec, clock.now(), this.expectedMs(spec), onEnd)
-    this.fleet.serviceOf(job.service).load.onArrived(job.priority, workLeft(job))
+    this.fleet.serviceOf(job.service).load.onArrived(job.priority, queuedWork(job))
     const refusal = this.suspects.endOf(job) ?? (this.isDiscovering ? undefined : findRefusal(job, this.fleet, this.fleet.loadOf(job.service), this.fleet.policy))
     if (refusal === undefined) this.enqueue(job)
     else this.finish(job, refusal)
@@ -107,7 +107,7 @@
   private enqueue (job: LeasedJob): void {
     this.jobs.set(job.key, job)
     const { queue, load } = this.fleet.serviceOf(job.service)
-    load.onAdmitted(job.priority, workLeft(job))
+    load.onAdmitted(job.priority, queuedWork(job))
     queue.add(job)
     this.sender.schedule(job.service)
   }
@@ -232,7 +232,7 @@
 
   private finish (job: LeasedJob, end: LeasedJobEnd): void {
     if (job.end !== undefined) return
-    if (end.type === 'refused') this.fleet.serviceOf(job.service).load.onRefused(job.priority, workLeft(job))
+    if (end.type === 'refused') this.fleet.serviceOf(job.service).load.onRefused(job.priority, queuedWork(job))
     job.end = end
     job.queue = []
     this.fleet.services.get(job.service)?.queue.remove(job)
--- a/packages/coordination/src/leased/leasedFleet.ts
+++ b/packages/coordination/src/leased/leasedFleet.ts
@@ -1,5 +1,5 @@
 import type { Clock, Random } from '@hazellift/common'
-import { POLICY, calmest, isBelowFloor } from '@hazellift/decisions'
+import { POLICY, leastLoaded, isBelowFloor } from '@hazellift/decisions'
 import type { LoadView, PlaceContext, Policy } from '@hazellift/decisions'
 import { EndpointHealth } from '../health/endpointHealth.js'
 import { EchoLimits } from './echoLimits.js'
@@ -177,9 +177,9 @@
       random,
       maySend: (agent) => this.healthOf(agent)?.maySend(agent.agentId) === true && this.echoLimits.mayStart(job, agent, clock.now()),
       isAvoided,
-      near: preferred
+      preferred: preferred
     }
-    const leastLoadedAgent = isSuspect ? this.policy.place(calmest(agents, job.need, { isAvoided, hasSuspect }), job, context) : undefined
+    const leastLoadedAgent = isSuspect ? this.policy.place(leastLoaded(agents, job.need, { isAvoided, hasSuspect }), job, context) : undefined
     return leastLoadedAgent ?? this.policy.place(agents, job, context)
   }
 }
--- a/packages/coordination/src/leased/leasedJob.ts
+++ b/packages/coordination/src/leased/leasedJob.ts
@@ -1,6 +1,6 @@
 import type { OriginEntry } from './echoLimits.js'
 import { submissionKey } from '../tasks/keys.js'
-import { giveUpAt } from '@hazellift/decisions'
+import { shedAt } from '@hazellift/decisions'
 import type { JobView, QueueShare, Resources } from '@hazellift/decisions'
 import type { Reason } from '@hazellift/protocol'
 
@@ -114,11 +114,11 @@
 const timesOf = ({ objective, deadlineMs }: LeasedJobSpec, arrivedAt: number, expectedMs: number) => {
   const objectiveMs = objective.stretch * expectedMs + objective.slackMs - OVERHEAD_MS
   const deadlineAt = arrivedAt + deadlineMs
-  const uselessAt = Math.min(deadlineAt, arrivedAt + objective.lateFactor * objectiveMs)
+  const expiresAt = Math.min(deadlineAt, arrivedAt + objective.lateFactor * objectiveMs)
   return {
     dueAt: Math.min(deadlineAt, arrivedAt + objectiveMs),
-    uselessAt,
-    giveUpAt: giveUpAt({ arrivedAt, objectiveMs, expectedMs, deadlineMs }),
+    expiresAt: expiresAt,
+    shedAt: shedAt({ arrivedAt, objectiveMs, expectedMs, deadlineMs }),
     deadlineAt
   }
 }
--- a/packages/coordination/src/leased/leasedQueue.ts
+++ b/packages/coordination/src/leased/leasedQueue.ts
@@ -1,12 +1,12 @@
-import { isLate, offeredPriority } from '@hazellift/decisions'
-import type { LoadView, Order } from '@hazellift/decisions'
+import { isLate, demandPriority } from '@hazellift/decisions'
+import type { LoadView, OrderJobs } from '@hazellift/decisions'
 import type { LeasedJob } from './leasedJob.js'
 
 /** The jobs of one service that have tasks waiting to be sent. */
 export class LeasedQueue {
   private readonly jobs = new Set<LeasedJob>()
 
-  constructor (private readonly order: Order) {}
+  constructor (private readonly order: OrderJobs) {}
 
   /** Number of waiting jobs. */
   get size (): number {
@@ -19,7 +19,7 @@
 
   /** Most urgent priority with which a job competes with those of other entries for free capacity; undefined if none waits. */
   demandPriority (now: number, { queues }: LoadView): number | undefined {
-    const priorityOf = offeredPriority(queues)
+    const priorityOf = demandPriority(queues)
     let first: number | undefined
     for (const job of this.jobs) {
       // A late job has no claim to the floor of its queue.
--- a/packages/coordination/src/leased/leasedSender.ts
+++ b/packages/coordination/src/leased/leasedSender.ts
@@ -103,7 +103,7 @@
     const start = create(LeasedStartSchema, {
       workspace, submission: id, payload, tasks, need: create(RoomSchema, need), waitMs: MAX_AGENT_WAIT_MS, expectedMs: Math.round(job.expectedMs)
     })
-    this.options.onSent(job, agent.agentId, indexes, agent.room)
+    this.options.onSent(job, agent.agentId, indexes, agent.freeCapacity)
     agent.link!.add((frame) => { frame.leasedStarts.push(start) })
   }
 
--- a/packages/coordination/src/leased/leasedSessions.ts
+++ b/packages/coordination/src/leased/leasedSessions.ts
@@ -10,7 +10,7 @@
 import { LeasedAgent } from './leasedAgent.js'
 import type { SentRun } from './leasedAgent.js'
 import type { LeasedFleet } from './leasedFleet.js'
-import { provedOverMs } from './times.js'
+import { terminationBoundMs } from './times.js'
 import type { LeaseTimes } from './times.js'
 
 /** Events of an entry's sessions with agents, for logs and metrics. */
@@ -147,7 +147,7 @@
     if (agent.link === link) this.checkLost(agent, now)
     if (agent.link !== link) return
     agent.stampMs = frame.stampMs
-    agent.heardAt = now
+    agent.receivedAt = now
     this.options.fleet.echoLimits.onStamp(agent, now)
     if (frame.slowness > 0) agent.slowness = frame.slowness
     agent.entryCount = Math.max(1, frame.entries)
@@ -238,8 +238,8 @@
 
   private checkLost (agent: LeasedAgent, now: number): void {
     const { times, events, fleet } = this.options
-    const silentMs = now - agent.heardAt
-    if (silentMs < provedOverMs(times)) return
+    const silentMs = now - agent.receivedAt
+    if (silentMs < terminationBoundMs(times)) return
     if (agent.sent.size > 0) {
       events.agentLost(agent.agentId, Math.round(silentMs), agent.sent.size)
       // Another echo on this session would renew the entry lease of runs that end here as terminated.
--- a/packages/coordination/src/leased/loadRecord.ts
+++ b/packages/coordination/src/leased/loadRecord.ts
@@ -100,8 +100,8 @@
     const now = this.now()
     return [...this.records].map(([priority, { arrived, admitted, started, refused }]) => ({
       priority,
-      askedMilli: arrived.read(now) / DECAY_MS,
-      takenMilli: admitted.read(now) / DECAY_MS,
+      arrivedMilli: arrived.read(now) / DECAY_MS,
+      admittedMilli: admitted.read(now) / DECAY_MS,
       startedMilli: started.read(now) / DECAY_MS,
       refusedMilli: refused.read(now) / DECAY_MS
     }))
--- a/packages/coordination/src/leased/queueShares.test.ts
+++ b/packages/coordination/src/leased/queueShares.test.ts
@@ -1,7 +1,7 @@
 import { PLAIN_POLICY, POLICY } from '@hazellift/decisions'
-import type { Shares } from '@hazellift/decisions'
+import type { ComputeShares } from '@hazellift/decisions'
 import { describe, expect, it } from 'vitest'
-import { replayQueues } from '../../tests/leased/replayQueues.js'
+import { simulateQueueBurst } from '../../tests/leased/simulateQueueBurst.js'
 
 /** Share of its arrivals that each queue would get if all were served the same share: 25% more work arrives than can be served. */
 const EVEN_SHARE = 1 / 1.25
@@ -13,8 +13,8 @@
 /** Largest difference in the share of the queue served least, between entries that know nothing of each other and a single entry. */
 const MAX_DIFFERENCE = 0.05
 
-const servedBy = (entries: number, shares: Shares, seed: number): number[] =>
-  [...replayQueues(entries, shares, seed).queues.values()].map(({ inTime, asked }) => inTime / asked)
+const servedBy = (entries: number, shares: ComputeShares, seed: number): number[] =>
+  [...simulateQueueBurst(entries, shares, seed).queues.values()].map(({ inTime, arrived: asked }) => inTime / asked)
 const SEEDS = [{ seed: 1 }, { seed: 5 }, { seed: 6 }, { seed: 7 }]
 
 describe('a burst of the least urgent queue to 25% over capacity', () => {
@@ -34,6 +34,6 @@
   })
 
   it('leaves no capacity free while a job waits', () => {
-    expect(replayQueues(8, POLICY.shares, 1).idle).toBe(0)
+    expect(simulateQueueBurst(8, POLICY.shares, 1).idleSweeps).toBe(0)
   })
 })
--- a/packages/coordination/src/leased/suspects.ts
+++ b/packages/coordination/src/leased/suspects.ts
@@ -1,5 +1,5 @@
 import { judgeSuspect } from '@hazellift/decisions'
-import type { LossView, Verdict } from '@hazellift/decisions'
+import type { LossView, SuspectVerdict } from '@hazellift/decisions'
 import { REASONS } from '@hazellift/protocol'
 import type { Reason } from '@hazellift/protocol'
 import type { LeasedAgent, SentRun } from './leasedAgent.js'
@@ -21,7 +21,7 @@
  * Called when an endpoint was lost under a task that is now suspect or not started
  * again, with the endpoint incarnations lost under it so far.
  */
-export type OnSuspect = (job: LeasedJob, index: number, incarnations: string[], verdict: Verdict) => void
+export type OnSuspect = (job: LeasedJob, index: number, incarnations: string[], verdict: SuspectVerdict) => void
 
 /** Crashes at most this far apart may have a common cause. */
 const SAME_CAUSE_MS = 1000
@@ -71,7 +71,7 @@
   onFailed ({ agentId }: LeasedAgent, { job, index, endpointIncarnation }: SentRun, reason: Reason): LeasedJobEnd | undefined {
     if (!LOSS_REASONS.has(reason)) return undefined
     const isCrash = reason === REASONS.endpointCrashed
-    this.remember(job, index, { life: `${agentId}/${endpointIncarnation}`, place: agentId, isCrash, at: this.now() })
+    this.remember(job, index, { incarnation: `${agentId}/${endpointIncarnation}`, agent: agentId, isCrash, at: this.now() })
     const task = job.tasks[index]!
     if (isCrash) task.avoidedAgents.add(agentId)
     const verdict = this.judge(job, index)
@@ -81,7 +81,7 @@
   }
 
   private remember (job: LeasedJob, index: number, loss: Loss): void {
-    if (loss.isCrash) this.crashes.push({ at: loss.at, place: loss.place, job: job.key })
+    if (loss.isCrash) this.crashes.push({ at: loss.at, place: loss.agent, job: job.key })
     const name = taskName(job, index)
     const losses = [...this.losses.get(name) ?? [], loss]
     // Deleted first, so that the map is ordered by latest loss.
@@ -98,7 +98,7 @@
     }
   }
 
-  private judge (job: LeasedJob, index: number): Verdict {
+  private judge (job: LeasedJob, index: number): SuspectVerdict {
     const losses = this.losses.get(taskName(job, index)) ?? []
     return judgeSuspect(losses.map((loss) => ({ ...loss, others: this.othersAt(loss, job.key) })))
   }
@@ -112,7 +112,7 @@
 
   private incarnationsOf (job: LeasedJob, index: number): string[] {
     const losses = this.losses.get(taskName(job, index)) ?? []
-    return [...new Set(losses.map(({ life, isCrash }) => isCrash ? life : `${life} (unresponsive)`))]
+    return [...new Set(losses.map(({ incarnation: life, isCrash }) => isCrash ? life : `${life} (unresponsive)`))]
   }
 
   private failureOf (job: LeasedJob, index: number): LeasedJobEnd {
