--- a/packages/coordination/src/handoff/handedOnJobs.ts
+++ b/packages/coordination/src/handoff/handedOnJobs.ts
@@ -5,7 +5,7 @@
 import type { CallerFrame, HandOnEnd, HostFrame, Reason } from '@hazellift/protocol'
 import { createLeasedJob } from '../leased/leasedJob.js'
 import type { LeasedJob, LeasedJobEnd, LeasedJobSpec } from '../leased/leasedJob.js'
-import { provedOverMs } from '../leased/times.js'
+import { terminationBoundMs } from '../leased/times.js'
 import type { LeaseTimes } from '../leased/times.js'
 import { submissionKey } from '../tasks/keys.js'
 import { ArrivalShare } from './arrivalShare.js'
@@ -152,7 +152,7 @@
     if (peer.out.size === 0) return
     const { times, events, clock } = this.options
     events.peerLost(peer.address, Math.round(clock.now() - peer.heardAt), peer.out.size)
-    for (const job of peer.out.values()) this.unproved.add({ job, overAt: peer.heardAt + provedOverMs(times) })
+    for (const job of peer.out.values()) this.unproved.add({ job, overAt: peer.heardAt + terminationBoundMs(times) })
   }
 
   onFrame (peer: HandOnPeer, { stampMs, ends, overs, news }: HostFrame): void {
--- a/packages/coordination/src/leased/configExchange.test.ts
+++ b/packages/coordination/src/leased/configExchange.test.ts
@@ -9,7 +9,7 @@
 import { LeasedFleet } from './leasedFleet.js'
 import { LeasedSessions } from './leasedSessions.js'
 
-const TIMES = { authorityMs: 600, holdMs: 500, stopMs: 50, clockFactor: 1.02 }
+const TIMES = { entryLeaseMs: 600, runLeaseMs: 500, stopMs: 50, clockFactor: 1.02 }
 const SWEEP_MS = 25
 /** An agent with nothing to do is heard of this often. */
 const KEEP_ALIVE_MS = 150
@@ -151,7 +151,7 @@
     sessions.onConfig(session, create(EntryFrameSchema, { configVersion: 2n, config: documentOf(2n) }))
     const frame = create(AgentFrameSchema)
     for (const change of changes) change(frame)
-    sessions.stamp('e', frame)
+    sessions.fillFrame('e', frame)
     expect(frame.config).toEqual(documentOf(frame.configVersion))
   })
 })
--- a/packages/coordination/src/leased/configExchange.ts
+++ b/packages/coordination/src/leased/configExchange.ts
@@ -46,7 +46,7 @@
 
   /** A document came into force here. */
   setConfig (version: bigint, document: Uint8Array): void {
-    this.copy.offer(version, document)
+    this.copy.update(version, document)
   }
 
   /** The store may hold a newer document than it showed this entry: agents that tell of one are asked at once. */
@@ -57,7 +57,7 @@
   /** An agent told what it holds, or gave its document. */
   onFrame (agent: LeasedAgent, { configVersion, config }: AgentFrame): void {
     agent.config.heldVersion = configVersion
-    if (config.length > 0 && this.copy.offer(configVersion, config)) this.options.onNewer(configVersion, config)
+    if (config.length > 0 && this.copy.update(configVersion, config)) this.options.onNewer(configVersion, config)
     if (configVersion <= this.newest) return
     this.newest = configVersion
     this.newerSince = this.options.clock.now()
--- a/packages/coordination/src/leased/leasedHostOptions.ts
+++ b/packages/coordination/src/leased/leasedHostOptions.ts
@@ -15,7 +15,7 @@
   zone: string
   times: LeaseTimes
   /** How long the endpoint may wait for an end before it answers a hold, in ms. */
-  holdWaitMs: number
+  pollWaitMs: number
   log: (event: string, fields: LogFields) => void
   /** Told of every attempt that is over. */
   observe: (result: TaskResult) => void
@@ -24,7 +24,7 @@
 }
 
 /** The endpoint beside the agent. */
-export interface AnnouncedLife {
+export interface AnnouncedIncarnation {
   service: string
   incarnation: string
   address: string
--- a/packages/coordination/src/leased/leasedSessions.ts
+++ b/packages/coordination/src/leased/leasedSessions.ts
@@ -10,7 +10,7 @@
 import { LeasedAgent } from './leasedAgent.js'
 import type { SentRun } from './leasedAgent.js'
 import type { LeasedFleet } from './leasedFleet.js'
-import { provedOverMs } from './times.js'
+import { terminationBoundMs } from './times.js'
 import type { LeaseTimes } from './times.js'
 
 /** What sessions tell their owner, for logs and metrics. */
@@ -236,7 +236,7 @@
   private checkLost (agent: LeasedAgent, now: number): void {
     const { times, events, fleet } = this.options
     const silentMs = now - agent.heardAt
-    if (silentMs < provedOverMs(times)) return
+    if (silentMs < terminationBoundMs(times)) return
     if (agent.sent.size > 0) {
       events.agentLost(agent.agentId, Math.round(silentMs), agent.sent.size)
       // On this session its agent must hear nothing more that would let them run on.
--- a/packages/coordination/src/leased/roomTurns.ts
+++ b/packages/coordination/src/leased/offerRotation.ts
@@ -2,10 +2,10 @@
 import type { Offer, Resources, Turn, WantingEntry } from '@hazellift/decisions'
 
 /** Remembers whose turn it is to be told of scarce room, and who was served when. */
-export class RoomTurns {
+export class OfferRotation {
   private turn: Turn = { holder: undefined, offeredAt: -Infinity }
   private readonly servedAt = new Map<string, number>()
-  private serves = 0
+  private serveCount = 0
 
   /**
    * @param now - the agent's clock
@@ -23,11 +23,11 @@
    */
   isOffered (incarnation: string, free: Resources, capacity: Resources, wanting: WantingEntry[]): boolean {
     if (!isScarce(free, capacity) || wanting.length === 0) return true
-    return this.holderOf(wanting) === incarnation
+    return this.entryInTurn(wanting) === incarnation
   }
 
   /** The entry that the free room is offered to. */
-  holderOf (wanting: WantingEntry[]): string | undefined {
+  entryInTurn (wanting: WantingEntry[]): string | undefined {
     const now = this.now()
     const holder = this.offer(wanting, this.turn, now)
     const keepsTurn = holder !== undefined && holder === this.turn.holder && now - this.turn.offeredAt < OFFER_MS
@@ -36,13 +36,13 @@
   }
 
   /** How often entries had been served here when this one was served last; 0 for never. */
-  serveOf (incarnation: string): number {
+  lastServeOf (incarnation: string): number {
     return this.servedAt.get(incarnation) ?? 0
   }
 
   /** The entry has sent starts, or has been passed over: it goes last among its equals. */
-  served (incarnation: string): void {
-    this.servedAt.set(incarnation, ++this.serves)
+  onServed (incarnation: string): void {
+    this.servedAt.set(incarnation, ++this.serveCount)
     if (this.turn.holder === incarnation) this.turn = { ...this.turn, holder: undefined }
   }
 
--- a/packages/coordination/tests/leased/doubt.test.ts
+++ b/packages/coordination/tests/leased/doubt.test.ts
@@ -4,7 +4,7 @@
 import type { AgentFrame, EntryFrame } from '@hazellift/protocol'
 import { describe, expect, it } from 'vitest'
 import { LeasedHost, RUN_ENDS } from '../../src/index.js'
-import type { HoldOrder, HoldOutcome, StartOrder, StartOutcome } from '../../src/index.js'
+import type { PollRequest, PollOutcome, StartOrder, StartOutcome } from '../../src/index.js'
 import { LeasedFleet } from '../../src/leased/leasedFleet.js'
 import { LeasedSessions } from '../../src/leased/leasedSessions.js'
 import { createFakeClock } from '../fakeClock.js'
@@ -22,7 +22,7 @@
 /** An agent's host whose endpoint answers when a test says so. */
 class HostFixture {
   readonly starts: Array<Pending<StartOrder, StartOutcome>> = []
-  readonly holds: Array<Pending<HoldOrder, HoldOutcome>> = []
+  readonly holds: Array<Pending<PollRequest, PollOutcome>> = []
   readonly told: string[] = []
   private readonly world = createFakeClock()
   private readonly process = new ProcessClock(this.world)
@@ -30,7 +30,7 @@
     clock: this.process,
     zone: 'z',
     times: TIMES,
-    holdWaitMs: 100,
+    pollWaitMs: 100,
     log: () => {},
     observe: ({ key, reason, outcome }) => this.told.push(`${key!.submission} ${reason || outcome}`)
   })
@@ -47,14 +47,14 @@
       endpoint: {
         start: (order) => new Promise((resolve) => { this.starts.push({ order, answer: resolve }) }),
         stop: () => new Promise(() => {}),
-        hold: (order) => new Promise((resolve) => { this.holds.push({ order, answer: resolve }) })
+        poll: (order) => new Promise((resolve) => { this.holds.push({ order, answer: resolve }) })
       }
     })
-    await this.answerHold({ type: 'held', running: [], ended: [] })
+    await this.answerHold({ type: 'listed', running: [], ended: [] })
     for (const entry of entries) this.host.openSession(entry, this.add)
   }
 
-  async answerHold (outcome: HoldOutcome): Promise<void> {
+  async answerHold (outcome: PollOutcome): Promise<void> {
     this.holds.shift()!.answer(outcome)
     await settle()
   }
@@ -90,7 +90,7 @@
     await settle()
     await fixture.frame('e', 'second')
     fixture.suspend(3000)
-    await fixture.answerHold({ type: 'held', running: [], ended: [{ seq: 1, submission: 'first', index: 0, run: fixture.starts[0]!.order.run, how: RUN_ENDS.done }] })
+    await fixture.answerHold({ type: 'listed', running: [], ended: [{ seq: 1, submission: 'first', index: 0, run: fixture.starts[0]!.order.run, how: RUN_ENDS.done }] })
     expect(fixture.ordered).toEqual(['first'])
     expect(fixture.told).toContain(`second ${REASONS.staleStart}`)
   })
@@ -129,16 +129,16 @@
     fixture.pass(10)
     fixture.suspend(300)
     const run = { submission: 'first', index: 0, run: fixture.starts[0]!.order.run }
-    const next = async (): Promise<HoldOrder> => {
-      await fixture.answerHold({ type: 'held', running: [run], ended: [] })
+    const next = async (): Promise<PollRequest> => {
+      await fixture.answerHold({ type: 'listed', running: [run], ended: [] })
       fixture.pass(5)
       await settle()
       return fixture.holds[0]!.order
     }
-    expect(await next()).toMatchObject({ holdMs: undefined, waitMs: 25 })
+    expect(await next()).toMatchObject({ runLeaseMs: undefined, waitMs: 25 })
     fixture.pass(1)
     await fixture.frame('e')
-    expect(await next()).toMatchObject({ holdMs: TIMES.holdMs, waitMs: 100 })
+    expect(await next()).toMatchObject({ runLeaseMs: TIMES.runLeaseMs, waitMs: 100 })
   })
 })
 
--- a/packages/coordination/tests/leased/fakeEndpoint.ts
+++ b/packages/coordination/tests/leased/fakeEndpoint.ts
@@ -2,7 +2,7 @@
 import type { Clock } from '@hazellift/common'
 import type { Resources } from '@hazellift/decisions'
 import { RUN_ENDS } from '../../src/index.js'
-import type { HoldOutcome, LeasedEndpoint, ListedEnd, RunEnd, RunRef, StartOrder, StartOutcome } from '../../src/index.js'
+import type { PollOutcome, LeasedEndpoint, ListedEnd, RunEnd, RunRef, StartOrder, StartOutcome } from '../../src/index.js'
 
 interface FakeRun extends RunRef {
   cpuMilli: number
@@ -82,7 +82,7 @@
   start = (order: StartOrder): Promise<StartOutcome> => this.call('start', () => this.onStart(order), { type: 'unknown' })
   stop = (run: RunRef): Promise<boolean> => this.call('stop', () => this.onStop(run), false)
 
-  hold: LeasedEndpoint['hold'] = async ({ holdMs, lastSeen, waitMs }) => {
+  poll: LeasedEndpoint['poll'] = async ({ runLeaseMs: holdMs, lastSeen, waitMs }) => {
     const until = holdMs === undefined ? 0 : this.clock.now() + holdMs
     const isSeen = await this.call('hold', () => {
       this.until = Math.max(this.until, until)
@@ -96,7 +96,7 @@
     }
     for (let waited = 0; waited < waitMs && this.ends.length === 0 && !this.isDown; waited += STEP_MS) await this.clock.sleep(STEP_MS)
     // The answer of one that has crashed meanwhile never comes.
-    if (this.isDown) return this.callDown<HoldOutcome>('hold', { type: 'unknown' })
+    if (this.isDown) return this.callDown<PollOutcome>('hold', { type: 'unknown' })
     return this.show()
   }
 
@@ -123,9 +123,9 @@
     return [...this.running.values()].map(({ submission, index, run, startedAt }) => ({ submission, index, run, from: startedAt, to: Infinity }))
   }
 
-  private show (): HoldOutcome {
+  private show (): PollOutcome {
     this.tick()
-    return { type: 'held', running: [...this.running.values()].map(({ submission, index, run }) => ({ submission, index, run })), ended: [...this.ends] }
+    return { type: 'listed', running: [...this.running.values()].map(({ submission, index, run }) => ({ submission, index, run })), ended: [...this.ends] }
   }
 
   private async call<T> (name: 'start' | 'stop' | 'hold', act: () => T, unanswered: T): Promise<T> {
@@ -156,7 +156,7 @@
     this.poison.onCrash()
   }
 
-  private onStart ({ submission, index, run, holdMs }: StartOrder): StartOutcome {
+  private onStart ({ submission, index, run, runLeaseMs: holdMs }: StartOrder): StartOutcome {
     this.tick()
     const name = `${submission}.${index}`
     if (run <= (this.endedRuns.get(name) ?? 0)) return { type: 'number_used' }
--- a/packages/coordination/tests/leased/leased.test.ts
+++ b/packages/coordination/tests/leased/leased.test.ts
@@ -2,7 +2,7 @@
 import { REASONS } from '@hazellift/protocol'
 import fc from 'fast-check'
 import { describe, expect, it } from 'vitest'
-import { provedOverMs } from '../../src/index.js'
+import { terminationBoundMs } from '../../src/index.js'
 import { CAPACITY, overlaps } from './fakeEndpoint.js'
 import type { CallFault } from './fakeEndpoint.js'
 import { LeasedNetwork, TIMES } from './leasedNetwork.js'
@@ -23,7 +23,7 @@
 
 describe('jobs that are not kept', () => {
   it('the bound after which a task is over is below the time after which callers send again', () => {
-    expect(provedOverMs(TIMES)).toBeLessThan(RESEND_MS)
+    expect(terminationBoundMs(TIMES)).toBeLessThan(RESEND_MS)
   })
 
   it('all tasks run once and the job completes', async () => {
@@ -146,7 +146,7 @@
     expect(overlaps(network.endpoints)).toEqual([])
   })
 
-  const guards = [{ name: 'authority that outlasts the bound', times: { ...TIMES, authorityMs: 5000 } }]
+  const guards = [{ name: 'authority that outlasts the bound', times: { ...TIMES, entryLeaseMs: 5000 } }]
   it.each(guards)('the checks notice $name', async ({ times }) => {
     const network = await started(2, 2, times)
     for (const endpoint of network.endpoints) endpoint.runMs = 3000
--- a/packages/coordination/tests/leased/leasedNetwork.ts
+++ b/packages/coordination/tests/leased/leasedNetwork.ts
@@ -12,7 +12,7 @@
 import { CAPACITY, FakeEndpoint } from './fakeEndpoint.js'
 import type { DownFate } from './fakeEndpoint.js'
 
-export const TIMES: LeaseTimes = { authorityMs: 600, holdMs: 500, stopMs: 50, clockFactor: 1.02 }
+export const TIMES: LeaseTimes = { entryLeaseMs: 600, runLeaseMs: 500, stopMs: 50, clockFactor: 1.02 }
 const KEEP_ALIVE_MS = 150
 const ENTRY_KEEP_ALIVE_MS = 200
 const SESSION_TIMEOUT_MS = 500
@@ -200,7 +200,7 @@
     if (!this.endpoints.includes(endpoint)) this.endpoints.push(endpoint)
     const process = this.agents[index]?.process ?? new ProcessClock(this.clock, this.boot)
     const host = new LeasedHost({
-      clock: process, zone: this.zoneOf(index), times: this.times, holdWaitMs: 100, log: () => {}, observe: (result) => this.count(result)
+      clock: process, zone: this.zoneOf(index), times: this.times, pollWaitMs: 100, log: () => {}, observe: (result) => this.count(result)
     })
     const life = this.counter++
     const agent = { incarnation: `a${life}`, process, host, endpoint, life, isUp: true }
@@ -219,7 +219,7 @@
       endpoint: {
         start: (order) => agent.isUp ? process.arrived(endpoint.start(order)) : new Promise(() => {}),
         stop: (run) => agent.isUp ? process.arrived(endpoint.stop(run)) : new Promise(() => {}),
-        hold: (order) => agent.isUp ? process.arrived(endpoint.hold(order)) : new Promise(() => {})
+        poll: (order) => agent.isUp ? process.arrived(endpoint.poll(order)) : new Promise(() => {})
       }
     })
   }
--- a/packages/lab/src/labWorld.ts
+++ b/packages/lab/src/labWorld.ts
@@ -19,7 +19,7 @@
 import type { Scenario } from './scenario.js'
 
 /** The same chain of times as on the platform. */
-export const LEASE_TIMES: LeaseTimes = { authorityMs: 600, holdMs: 500, stopMs: 50, clockFactor: 1.02 }
+export const LEASE_TIMES: LeaseTimes = { entryLeaseMs: 600, runLeaseMs: 500, stopMs: 50, clockFactor: 1.02 }
 const HOLD_WAIT_MS = 100
 const SWEEP_MS = 25
 /** How often free room is looked at. */
@@ -200,7 +200,7 @@
       clock: process.clock,
       zone: this.zoneOf(index),
       times: LEASE_TIMES,
-      holdWaitMs: HOLD_WAIT_MS,
+      pollWaitMs: HOLD_WAIT_MS,
       log: () => {},
       observe: ({ reason }) => { if (reason === REASONS.noSlot) this.counts.startsInVain++ },
       offer: this.policy.offer
