--- a/packages/coordination/src/leased/configCopy.ts
+++ b/packages/coordination/src/leased/configCopy.ts
@@ -1,13 +1,13 @@
 /**
- * The newest configuration document that a process has seen, for those that
- * cannot read it themselves.
+ * The newest configuration document that a process has received, for processes
+ * that cannot read the store themselves.
  *
- * Invariant: the version only grows.
+ * Invariant: the version never decreases.
  */
 export class ConfigCopy {
   private current: { version: bigint, document: Uint8Array } = { version: 0n, document: new Uint8Array() }
 
-  /** 0 while none is held. */
+  /** 0 before the first document. */
   get version (): bigint {
     return this.current.version
   }
@@ -17,9 +17,9 @@
   }
 
   /**
-   * Takes a document if it is newer.
+   * Adopts a document if it is newer than the current one.
    *
-   * @returns true if it was taken
+   * @returns true if it was adopted
    */
   update (version: bigint, document: Uint8Array): boolean {
     if (version <= this.current.version) return false
--- a/packages/coordination/src/leased/describeEnd.ts
+++ b/packages/coordination/src/leased/describeEnd.ts
@@ -3,11 +3,11 @@
 import type { AttemptOutcome } from './inFlightRun.js'
 import { RUN_ENDS } from './types.js'
 
-/** How an attempt ended, as its result tells. */
+/** The end of an attempt as the task's result reports it. */
 export interface EndDescription {
   outcome: TaskOutcome
   reason: Reason | ''
-  /** False if nothing ran, so that its time means nothing. */
+  /** False if nothing ran, so that there is no run time to report. */
   hasRun: boolean
 }
 
@@ -17,13 +17,13 @@
   [RUN_ENDS.lapsed]: REASONS.leaseExpired
 } as const
 
-/** Turns what an agent has proved into what it tells the task's entry. */
-export const describeEnd = (over: AttemptOutcome): EndDescription => {
-  switch (over.type) {
-    case 'not_started': return { outcome: TASK_OUTCOMES.notStarted, reason: over.reason, hasRun: false }
-    case 'lost': return { outcome: TASK_OUTCOMES.failed, reason: over.reason, hasRun: true }
+/** Converts an attempt's outcome at the agent into what the agent reports to the task's entry. */
+export const describeEnd = (attempt: AttemptOutcome): EndDescription => {
+  switch (attempt.type) {
+    case 'not_started': return { outcome: TASK_OUTCOMES.notStarted, reason: attempt.reason, hasRun: false }
+    case 'lost': return { outcome: TASK_OUTCOMES.failed, reason: attempt.reason, hasRun: true }
     case 'ended':
-      if (over.how === RUN_ENDS.done) return { outcome: TASK_OUTCOMES.done, reason: '', hasRun: true }
-      return { outcome: TASK_OUTCOMES.failed, reason: REASON_OF_END[over.how], hasRun: true }
+      if (attempt.how === RUN_ENDS.done) return { outcome: TASK_OUTCOMES.done, reason: '', hasRun: true }
+      return { outcome: TASK_OUTCOMES.failed, reason: REASON_OF_END[attempt.how], hasRun: true }
   }
 }
--- a/packages/coordination/src/leased/describeIncarnation.ts
+++ b/packages/coordination/src/leased/describeIncarnation.ts
@@ -4,12 +4,12 @@
 import type { AnnouncedIncarnation } from './leasedHostOptions.js'
 
 /**
- * What entries are told of an endpoint's life.
+ * The message that reports an endpoint's incarnation to entries.
  *
- * @param life - unset while none takes starts
+ * @param announced - undefined while no incarnation accepts starts; the message is empty then
  */
-export const describeIncarnation = (life: AnnouncedIncarnation | undefined): EndpointState => {
-  if (life === undefined) return create(EndpointStateSchema)
-  const { service, incarnation, address, capacity } = life
+export const describeIncarnation = (announced: AnnouncedIncarnation | undefined): EndpointState => {
+  if (announced === undefined) return create(EndpointStateSchema)
+  const { service, incarnation, address, capacity } = announced
   return create(EndpointStateSchema, { service, incarnation, address, capacity: create(RoomSchema, capacity) })
 }
--- a/packages/coordination/src/leased/entryLeases.ts
+++ b/packages/coordination/src/leased/entryLeases.ts
@@ -1,50 +1,53 @@
 import type { Clock, Suspension, SuspensionWatch } from '@hazellift/common'
 
-/** What authorities need. */
+/** What the entry leases of an agent need. */
 export interface EntryLeasesOptions {
-  /** The one that stamps the agent's frames. */
+  /** The clock that the agent's frames are timestamped with. */
   clock: Pick<Clock, 'now' | 'after'>
   watch: SuspensionWatch
-  /** How long a stamp lasts. */
+  /** Length of a lease, in ms from the echoed timestamp. */
   entryLeaseMs: number
-  /** How long what runs may go on while it is in doubt whether authority is over. */
+  /** How long runs may continue under an unverified lease, in ms. */
   verificationMs: number
-  /** True while a session with this entry is open. */
+  /** True while a session with this incarnation of an entry is open. */
   isOpen: (incarnation: string) => boolean
-  /** Some entries' authority is in doubt until they echo a stamp made from now on. */
+  /** Some leases are unverified until their entries echo a timestamp taken from now on. */
   onUnverified: () => void
-  /** Stops whatever runs without authority. */
+  /** Leases may have expired: stops all runs without one. */
   onExpired: () => void
 }
 
-/** No authority, where there was some. */
+/** Expiry of a lease that has ended while the entry is still known. */
 const EXPIRED = 0
 
 /**
- * Until when an agent may run tasks of each entry, by the agent's own clock.
+ * The entry leases of an agent: until when it may run the tasks of each entry,
+ * by the agent's own clock.
  *
- * Invariant: authority ends `authorityMs` after a stamp of this agent that the
- * entry has echoed, however late the echo arrives; and what ran under authority
- * that has ended is stopped before new authority begins.
+ * Invariant: a lease expires `entryLeaseMs` after a timestamp of this agent that
+ * the entry has echoed, however late the echo arrives. Runs under an expired
+ * lease are stopped before a new lease of the same entry begins.
  *
- * The steady clock does not count time during which the process is suspended. After
- * what may have been such a time all authority is in doubt, and stamps made before
- * it count for nothing. An echo of a later stamp on the same session settles the
- * doubt: an entry ends its sessions where it may have been suspended itself, or has
- * not heard of the agent for so long that it counts what runs there as over.
+ * The steady clock does not count time during which the process is suspended.
+ * After a possible suspension all leases are unverified, and echoes of earlier
+ * timestamps are ignored. An echo of a later timestamp on the same session
+ * verifies the lease: an entry ends its sessions if it may have been suspended
+ * itself, or if it has not heard from the agent for so long that it considers
+ * the runs there terminated.
  */
 export class EntryLeases {
+  /** When the lease of each entry expires, by the entry's incarnation. */
   private readonly expiryOf = new Map<string, number>()
-  /** Entries whose authority is in doubt, with the end of that. */
+  /** Entries with an unverified lease, and when it expires if it is not verified. */
   private readonly unverifiedUntil = new Map<string, number>()
-  /** Stamps made until then may be older than they look. */
+  /** Timestamps up to this one may be older than the steady clock shows. */
   private echoesIgnoredUntil = -Infinity
 
   constructor (private readonly options: EntryLeasesOptions) {
     options.watch.onSuspended((suspension) => this.onSuspended(suspension))
   }
 
-  /** Notices what the steady clock has not counted; to be called before whatever rests on authority. */
+  /** Detects a suspension since the last check; to be called before anything that relies on a lease. */
   check (): void {
     this.options.watch.look()
   }
@@ -54,29 +57,30 @@
     return !this.unverifiedUntil.has(incarnation) && this.isBeforeExpiry(incarnation)
   }
 
-  /** True while tasks of this entry may go on, and must not be held on. */
+  /** True while runs of this entry may continue but their run lease must not be renewed. */
   isUnverified (incarnation: string): boolean {
-    const until = this.unverifiedUntil.get(incarnation)
-    return until !== undefined && this.options.clock.now() <= until && this.isBeforeExpiry(incarnation)
+    const expiresAt = this.unverifiedUntil.get(incarnation)
+    return expiresAt !== undefined && this.options.clock.now() <= expiresAt && this.isBeforeExpiry(incarnation)
   }
 
   /**
-   * The entry has echoed a stamp.
+   * Renews or verifies a lease after the entry has echoed a timestamp.
    *
-   * @param echoStampMs - 0 before the entry has read any
+   * @param incarnation - the entry's incarnation
+   * @param echoStampMs - the echoed timestamp; 0 before the entry has read any
    */
   renew (incarnation: string, echoStampMs: number): void {
     this.check()
     if (echoStampMs === 0 || echoStampMs <= this.echoesIgnoredUntil) return
-    const until = echoStampMs + this.options.entryLeaseMs
+    const expiresAt = echoStampMs + this.options.entryLeaseMs
     const before = this.expiryOf.get(incarnation)
     if (before !== undefined && !this.isValid(incarnation)) this.resolve(incarnation)
-    if (until <= (before ?? 0)) return
-    this.expiryOf.set(incarnation, until)
+    if (expiresAt <= (before ?? 0)) return
+    this.expiryOf.set(incarnation, expiresAt)
     if (before === undefined) this.scheduleExpiry(incarnation)
   }
 
-  /** A session with the entry has ended or begun: no doubt from before can be settled on it. */
+  /** A session with the entry has begun or ended: an unverified lease can't be verified on another session, so it expires. */
   onSessionChange (incarnation: string): void {
     this.check()
     if (!this.unverifiedUntil.has(incarnation)) return
@@ -88,7 +92,7 @@
     return this.options.clock.now() <= (this.expiryOf.get(incarnation) ?? -Infinity)
   }
 
-  /** Authority that was merely in doubt goes on; what ran under authority that is over is stopped. */
+  /** Verifies a lease that was only unverified; stops the runs of one that has expired. */
   private resolve (incarnation: string): void {
     if (!this.isUnverified(incarnation)) this.expiryOf.set(incarnation, EXPIRED)
     this.unverifiedUntil.delete(incarnation)
@@ -101,36 +105,36 @@
   }
 
   private onSuspended ({ isCertain }: Suspension): void {
-    const { clock, verificationMs: doubtMs, isOpen, onUnverified: onDoubt, onExpired: onLapse } = this.options
+    const { clock, verificationMs, isOpen, onUnverified, onExpired } = this.options
     this.echoesIgnoredUntil = clock.now()
-    const until = clock.now() + doubtMs
+    const expiresAt = clock.now() + verificationMs
     for (const incarnation of this.expiryOf.keys()) {
       if (isCertain || !isOpen(incarnation)) this.expire(incarnation)
-      // An earlier doubt ends when it would have ended.
-      else if (!this.unverifiedUntil.has(incarnation)) this.unverifiedUntil.set(incarnation, until)
+      // A lease that is unverified already keeps its earlier time limit.
+      else if (!this.unverifiedUntil.has(incarnation)) this.unverifiedUntil.set(incarnation, expiresAt)
     }
-    if (this.unverifiedUntil.size > 0) clock.after(doubtMs + 1, () => this.expireUnverified())
-    onLapse()
-    onDoubt()
+    if (this.unverifiedUntil.size > 0) clock.after(verificationMs + 1, () => this.expireUnverified())
+    onExpired()
+    onUnverified()
   }
 
   private expireUnverified (): void {
     const now = this.options.clock.now()
-    const ended = [...this.unverifiedUntil].filter(([, until]) => until < now)
-    for (const [incarnation] of ended) this.expire(incarnation)
-    if (ended.length > 0) this.options.onExpired()
+    const expired = [...this.unverifiedUntil].filter(([, expiresAt]) => expiresAt < now)
+    for (const [incarnation] of expired) this.expire(incarnation)
+    if (expired.length > 0) this.options.onExpired()
   }
 
-  /** Looks again when the authority known now ends. */
+  /** Checks the lease again when it expires as known now. */
   private scheduleExpiry (incarnation: string): void {
-    const { clock, onExpired: onLapse } = this.options
-    const until = this.expiryOf.get(incarnation)
-    if (until === undefined) return
-    clock.after(Math.max(1, until + 1 - clock.now()), () => {
+    const { clock, onExpired } = this.options
+    const expiresAt = this.expiryOf.get(incarnation)
+    if (expiresAt === undefined) return
+    clock.after(Math.max(1, expiresAt + 1 - clock.now()), () => {
       if (this.isBeforeExpiry(incarnation)) return this.scheduleExpiry(incarnation)
       this.expiryOf.delete(incarnation)
       this.unverifiedUntil.delete(incarnation)
-      onLapse()
+      onExpired()
     })
   }
 }
--- a/packages/coordination/src/leased/freeCapacity.ts
+++ b/packages/coordination/src/leased/freeCapacity.ts
@@ -1,36 +1,36 @@
 import type { Resources } from '@hazellift/decisions'
 import type { InFlightRun } from './inFlightRun.js'
 
-/** What an endpoint has beside everything that is not proved to be over. */
+/** Free capacity of an endpoint: its capacity less the needs of all runs in flight. */
 export class FreeCapacity {
   /**
-   * @param capacity - as the endpoint told last
-   * @param tasks - those not proved to be over
+   * @param capacity - as the endpoint last announced
+   * @param inFlight - runs that are not confirmed terminated
    */
-  constructor (private capacity: Resources, private readonly tasks: ReadonlyMap<string, InFlightRun>) {}
+  constructor (private capacity: Resources, private readonly inFlight: ReadonlyMap<string, InFlightRun>) {}
 
-  /** The endpoint has told another capacity. */
+  /** Adopts another capacity that the endpoint has announced. */
   setCapacity (capacity: Resources): void {
     this.capacity = capacity
   }
 
-  /** What can be started. */
+  /** Resources for further starts; never negative. */
   get free (): Resources {
     const { cpuMilli, memoryMb } = this.remaining
     return { cpuMilli: Math.max(0, cpuMilli), memoryMb: Math.max(0, memoryMb) }
   }
 
-  /** True where the capacity has shrunk below what runs. */
+  /** True if the capacity has shrunk below the needs of the runs in flight. */
   get isOvercommitted (): boolean {
     return this.remaining.cpuMilli < 0 || this.remaining.memoryMb < 0
   }
 
   private get remaining (): Resources {
-    const left = { ...this.capacity }
-    for (const { need } of this.tasks.values()) {
-      left.cpuMilli -= need.cpuMilli
-      left.memoryMb -= need.memoryMb
+    const remaining = { ...this.capacity }
+    for (const { need } of this.inFlight.values()) {
+      remaining.cpuMilli -= need.cpuMilli
+      remaining.memoryMb -= need.memoryMb
     }
-    return left
+    return remaining
   }
 }
--- a/packages/coordination/src/leased/inFlightRun.ts
+++ b/packages/coordination/src/leased/inFlightRun.ts
@@ -2,25 +2,29 @@
 import type { Reason } from '@hazellift/protocol'
 import type { RunEnd, RunRef } from './types.js'
 
-/** How an attempt ended, as far as this agent can prove. */
+/** How an attempt at a task ended, as far as the agent can confirm. */
 export type AttemptOutcome =
-  /** The start is proved void. */
+  /** It has not run and cannot begin any more. */
   | { type: 'not_started', reason: Reason }
   | { type: 'ended', how: RunEnd }
-  /** It may have run, and is proved to be over. */
+  /** It may have run, and is confirmed terminated; its end was not listed, or it was stopped. */
   | { type: 'lost', reason: Reason }
 
-/** A task that was ordered at the endpoint and is not proved to be over. */
+/** A run that was ordered at the endpoint and is not confirmed terminated. */
 export interface InFlightRun extends RunRef {
   payload: string
   need: Resources
-  /** Set once somebody wants its end; it counts against the room until the end is listed. */
+  /** Set once the run is to be stopped; it counts against the free capacity until it is confirmed terminated. */
   stopReason: Reason | undefined
-  /** Holds sent after this one prove by its absence that it is over; unset while its order is unanswered. */
+  /**
+   * Number of the last poll sent before the order's outcome was known; undefined while it is unknown.
+   * A later poll that does not list the run confirms that it has terminated.
+   */
   resolvedAtPoll: number | undefined
+  /** When the start was ordered, on the agent's clock. */
   startedAt: number
-  onTerminated: (over: AttemptOutcome) => void
+  onTerminated: (outcome: AttemptOutcome) => void
 }
 
-/** A task's name at its endpoint, whatever the run. */
+/** The name that all runs of a task share at an endpoint. */
 export const taskNameOf = ({ submission, index }: Pick<RunRef, 'submission' | 'index'>): string => `${submission}.${index}`
--- a/packages/coordination/src/leased/times.ts
+++ b/packages/coordination/src/leased/times.ts
@@ -1,33 +1,36 @@
-/** How long authority lasts at each step of the chain entry, agent, endpoint; all in ms. */
+/** Lengths of the leases from entry to agent and from agent to endpoint, in ms, with the bounds they rely on. */
 export interface LeaseTimes {
-  /** How long an agent runs an entry's tasks after the stamp that the entry echoed last. */
+  /** How long an agent may run an entry's tasks after the agent's timestamp that the entry last echoed. */
   entryLeaseMs: number
-  /** How far ahead an agent holds what runs at its endpoint. */
+  /** How long runs at an endpoint may continue after the last renewal by the agent. */
   runLeaseMs: number
   /** Longest time that the endpoint takes to stop a task. */
   stopMs: number
-  /** How much slower than ours the endpoint's clock may run. */
+  /** Allowance for an endpoint's clock that runs slower than this process's clock, as a factor: 1.02 allows for 2%. */
   clockFactor: number
 }
 
 /**
- * Longest time from the last frame of an agent until nothing runs there for the
- * entry that read it, whatever died or froze meanwhile.
+ * Longest time from the last frame that an entry read from an agent until all of
+ * the entry's runs there have terminated, even if processes crash or freeze.
  *
- * The agent's authority ends `authorityMs` after the stamp that was echoed last,
- * and that stamp is no younger than the last frame read. The agent's last hold
- * was sent before that end and lapses `holdMs` later on the endpoint's clock.
+ * The entry lease ends `entryLeaseMs` after the last echoed timestamp, which was
+ * taken no later than that frame was read. The agent last renewed the run lease
+ * before the entry lease ended, and the run lease expires `runLeaseMs` later on
+ * the endpoint's clock.
  *
- * @param times - the lengths of the chain's steps
+ * @param times - lease lengths and bounds
+ * @returns the bound in ms
  */
-export const terminationBoundMs = ({ entryLeaseMs: authorityMs, runLeaseMs: holdMs, stopMs, clockFactor }: LeaseTimes): number =>
-  authorityMs + holdMs * clockFactor + stopMs
+export const terminationBoundMs = ({ entryLeaseMs, runLeaseMs, stopMs, clockFactor }: LeaseTimes): number =>
+  entryLeaseMs + runLeaseMs * clockFactor + stopMs
 
-/** Longest time from the last hold of an agent until nothing of it runs at the endpoint. */
-export const runExpiryMs = ({ runLeaseMs: holdMs, stopMs, clockFactor }: LeaseTimes): number => holdMs * clockFactor + stopMs
+/** Longest time in ms from an agent's last renewal of the run lease until all of its runs at the endpoint have terminated. */
+export const runExpiryMs = ({ runLeaseMs, stopMs, clockFactor }: LeaseTimes): number => runLeaseMs * clockFactor + stopMs
 
 /**
- * How long a run may go on unheld while it is in doubt whether its authority is over:
- * long enough for an echo, and so short that the last hold outlasts it.
+ * How long runs may continue under an unverified entry lease, in ms. Their run lease
+ * is not renewed meanwhile: half of it is long enough for an echo to arrive, and ends
+ * before the run lease expires.
  */
-export const verificationMs = ({ runLeaseMs: holdMs }: LeaseTimes): number => holdMs / 2
+export const verificationMs = ({ runLeaseMs }: LeaseTimes): number => runLeaseMs / 2
--- a/packages/coordination/src/leased/types.ts
+++ b/packages/coordination/src/leased/types.ts
@@ -1,70 +1,71 @@
 import type { Reason } from '@hazellift/protocol'
 
-/** One start of one task at an endpoint. Of the runs of a task there, higher numbers are later. */
+/** One run of a task at an endpoint. A later run of the same task there has a higher number. */
 export interface RunRef {
   submission: string
   index: number
   run: number
 }
 
-/** An order to start a task. */
+/** An order to start a run; it also renews the run lease of everything at the endpoint. */
 export interface StartOrder extends RunRef {
   payload: string
-  /** How far ahead everything at the endpoint is held from the sending on. */
+  /** Length of the run lease, in ms from the moment of sending. */
   runLeaseMs: number
 }
 
 /** What is known after an order to start. */
 export type StartOutcome =
   | { type: 'started' }
-  /** Nothing runs, and nothing of this order ever will. */
+  /** Nothing runs, and this order will never start anything. */
   | { type: 'refused', reason: Reason }
-  /** A run with this number or a higher one has ended or was stopped there. */
+  /** A run of the task with this number or a higher one has ended or was stopped there. */
   | { type: 'number_used' }
-  /** No answer: it may run, or begin later. */
+  /** No answer: the run may have begun, or may begin later. */
   | { type: 'unknown' }
-  /** Another life of the endpoint answered: everything of this life is over. */
+  /** Another incarnation of the endpoint answered: all runs of this one have terminated. */
   | { type: 'gone' }
 
 /** How a run ended at the endpoint. */
 export const RUN_ENDS = {
   done: 'done',
-  /** By its own fault or the endpoint's. */
+  /** The task or the endpoint failed. */
   failed: 'failed',
   stopped: 'stopped',
-  /** The endpoint was not held in time. */
+  /** The run lease expired. */
   lapsed: 'lapsed'
 } as const
 export type RunEnd = typeof RUN_ENDS[keyof typeof RUN_ENDS]
 
-/** An end that the endpoint lists until it is acknowledged. */
+/** The end of a run, which the endpoint lists until it is acknowledged. */
 export interface ListedEnd extends RunRef {
-  /** Rises within a life of the endpoint. */
+  /** Rises within an incarnation of the endpoint. */
   seq: number
   how: RunEnd
 }
 
-/** An order to hold what runs, and to look. */
+/** A request to list what runs and what has ended, and to renew the run lease if it carries one. */
 export interface PollRequest {
-  /** How far ahead everything is held; unset to look only. */
+  /** Length of the run lease in ms from the moment of sending; undefined to leave the lease as it is. */
   runLeaseMs: number | undefined
-  /** Ends up to this one are known. */
+  /** Acknowledges all ends up to this sequence number. */
   lastSeen: number
-  /** How long the answer may wait for an end. */
+  /** How long the endpoint may delay the answer until a run ends, in ms. */
   waitMs: number
 }
 
-/** What the endpoint shows. */
+/** The endpoint's answer to a poll. */
 export type PollOutcome =
   | { type: 'listed', running: RunRef[], ended: ListedEnd[] }
-  /** No answer. `isRefused`: nothing takes connections at its address. */
+  /** No answer. `isRefused`: connections to its address are refused. */
   | { type: 'unknown', isRefused?: boolean }
+  /** Another incarnation of the endpoint answered: all runs of this one have terminated. */
   | { type: 'gone' }
 
-/** One life of an endpoint, as the agent calls it. Calls settle within their own time limits and never throw. */
+/** The calls of one incarnation of an endpoint. They settle within their own time limits and never reject. */
 export interface LeasedEndpoint {
   start: (order: StartOrder) => Promise<StartOutcome>
-  /** True once the run is being stopped, or can never begin. */
+  /** Resolves with true once the run is being stopped or can never begin. */
   stop: (run: RunRef) => Promise<boolean>
-  poll: (order: PollRequest) => Promise<PollOutcome>
+  poll: (request: PollRequest) => Promise<PollOutcome>
 }
