--- a/packages/coordination/src/leased/endpointOrders.ts
+++ b/packages/coordination/src/leased/endpointOrders.ts
@@ -14,108 +14,113 @@
   endpoint: LeasedEndpoint
   times: LeaseTimes
   responsiveness: EndpointResponsiveness
-  /** True while the task is not proved to be over. */
-  isInFlight: (task: InFlightRun) => boolean
-  /** True once the endpoint's life is over. */
+  /** True while the run is not confirmed terminated. */
+  isInFlight: (run: InFlightRun) => boolean
+  /** True once the endpoint's incarnation has ended. */
   isEnded: () => boolean
-  /** Stops what runs without authority. */
+  /** Stops runs without an entry lease; called before a start is repeated, as a start renews the run lease. */
   beforeRenewal: () => void
   /** False while nothing may be started. */
   mayStart: () => boolean
-  /** What runs there is held on from now. */
+  /** A start is about to be sent, which renews the run lease. */
   onRenewed: () => void
-  /** Looks sent from now on prove by its absence that the task is over. */
-  onResolved: (task: InFlightRun) => void
-  onTerminated: (task: InFlightRun, over: AttemptOutcome) => void
-  /** Another life of the endpoint has answered. */
+  /** The order's outcome is known: a poll sent from now on that does not list the run confirms that it has terminated. */
+  onResolved: (run: InFlightRun) => void
+  onTerminated: (run: InFlightRun, outcome: AttemptOutcome) => void
+  /** Another incarnation of the endpoint has answered. */
   onGone: () => void
-  /** Shows what runs, at once. */
+  /** Polls the endpoint at once, without renewal. */
   poll: () => void
   log: (event: string, fields: Record<string, string | number | boolean | undefined>) => void
 }
 
 const MAX_NUMBER_TRIES = 6
-/** An unanswered start is sent again so often: at 8% lost orders one in 2000 fails. Then its task goes elsewhere, once a stop has forbidden it here. */
+/**
+ * How often a start is sent if none is answered: with 8% of orders lost, one in
+ * 2000 fails. The task then goes to another endpoint, once a stop has ruled out
+ * that it still begins here.
+ */
 const MAX_START_TRIES = 3
-/** An unanswered stop is repeated at once so often, then with growing pauses. */
+/** Unanswered stops that are repeated at once; further ones follow with exponential backoff. */
 const IMMEDIATE_STOP_TRIES = 3
 const STOP_BACKOFF = { baseMs: 10, maxMs: 100 }
 
-/** Orders of one life of an endpoint to start and stop tasks, each repeated until it is settled. */
+/** Orders one incarnation of an endpoint to start and stop runs, and repeats each order until its outcome is known. */
 export class EndpointOrders {
   private readonly runNumbers = new RunNumbers()
 
   constructor (private readonly options: EndpointOrdersOptions) {}
 
   /**
-   * Orders a start. One without an answer is sent again with the same number:
-   * whichever copy arrives first begins the run, and no other begins it again,
-   * however late it is.
+   * Orders a start. An unanswered one is repeated with the same run number, as
+   * the endpoint begins each number once: the first copy that arrives starts
+   * the run, and no other starts it again, however late it arrives.
    */
-  async start (task: InFlightRun): Promise<void> {
-    const { endpoint, times, responsiveness: contact, isInFlight: isOpen, onRenewed: onHeld, onGone } = this.options
-    let used = 0
+  async start (run: InFlightRun): Promise<void> {
+    const { endpoint, times, responsiveness, isInFlight, onRenewed, onGone } = this.options
+    let usedNumbers = 0
     let unanswered = 0
-    task.run = this.runNumbers.next(taskNameOf(task), 0)
+    run.run = this.runNumbers.next(taskNameOf(run), 0)
     while (true) {
-      onHeld()
-      const outcome = await endpoint.start({ ...task, runLeaseMs: times.runLeaseMs })
-      if (!isOpen(task)) return
+      onRenewed()
+      const outcome = await endpoint.start({ ...run, runLeaseMs: times.runLeaseMs })
+      if (!isInFlight(run)) return
       if (outcome.type === 'gone') return onGone()
-      // A number that is used after an unanswered order: its run has begun, and ended.
-      if (outcome.type === 'started' || (outcome.type === 'number_used' && unanswered > 0)) return this.onStarted(task)
+      // After an unanswered order, a used number means that the run has begun and ended.
+      if (outcome.type === 'started' || (outcome.type === 'number_used' && unanswered > 0)) return this.onStarted(run)
       if (outcome.type === 'unknown') {
-        contact.onCallLost()
-        if (++unanswered === MAX_START_TRIES || !this.mayRepeat(task)) return this.resolveUnknown(task)
+        responsiveness.onCallLost()
+        if (++unanswered === MAX_START_TRIES || !this.mayRepeat(run)) return this.resolveUnknown(run)
         continue
       }
-      // Refused now, but an unanswered copy may still be carried out.
-      if (unanswered > 0) return this.resolveUnknown(task)
-      if (outcome.type === 'refused') return this.onNotStarted(task, outcome.reason)
-      if (++used === MAX_NUMBER_TRIES || !this.mayRepeat(task)) return this.onNotStarted(task, REASONS.endpointBusy)
-      task.run = this.runNumbers.next(taskNameOf(task), used)
+      // This copy is refused, but an earlier unanswered one may still be carried out.
+      if (unanswered > 0) return this.resolveUnknown(run)
+      if (outcome.type === 'refused') return this.onNotStarted(run, outcome.reason)
+      if (++usedNumbers === MAX_NUMBER_TRIES || !this.mayRepeat(run)) return this.onNotStarted(run, REASONS.endpointBusy)
+      run.run = this.runNumbers.next(taskNameOf(run), usedNumbers)
     }
   }
 
-  /** Orders a stop, until it is answered: before that, a run whose start was not answered may begin late. */
-  async stop (task: InFlightRun): Promise<void> {
-    const { clock, endpoint, responsiveness: contact, isInFlight: isOpen, isEnded, onResolved: onSettled, poll: look } = this.options
-    const isUnsettled = (): boolean => task.resolvedAtPoll === undefined
-    for (let tries = 1; (isOpen(task) || isUnsettled()) && !isEnded(); tries++) {
-      if (await endpoint.stop(task)) {
-        onSettled(task)
-        // No end will be listed of a run that never began.
-        if (task.stopReason === REASONS.orderUnanswered) look()
+  /** Orders a stop until it is answered: before that, a run whose start was not answered may still begin. */
+  async stop (run: InFlightRun): Promise<void> {
+    const { clock, endpoint, responsiveness, isInFlight, isEnded, onResolved, poll } = this.options
+    const isUnresolved = (): boolean => run.resolvedAtPoll === undefined
+    for (let tries = 1; (isInFlight(run) || isUnresolved()) && !isEnded(); tries++) {
+      if (await endpoint.stop(run)) {
+        onResolved(run)
+        // The endpoint lists no end for a run that never began, so only a poll can confirm it.
+        if (run.stopReason === REASONS.orderUnanswered) poll()
         return
       }
-      contact.onCallLost()
-      // At a silent endpoint the holds ask whether it answers again.
-      await contact.untilResponsive()
+      responsiveness.onCallLost()
+      // While the endpoint is unresponsive, only polls check whether it answers again.
+      await responsiveness.untilResponsive()
       if (tries >= IMMEDIATE_STOP_TRIES) await clock.sleep(Math.min(STOP_BACKOFF.maxMs, STOP_BACKOFF.baseMs * 2 ** (tries - IMMEDIATE_STOP_TRIES)))
     }
   }
 
   /**
-   * An order is repeated only under authority that holds now, as this process may
-   * have stood still since it was sent, and only while starts are still allowed.
+   * True if a start may be repeated: the entry lease must still be valid, as this
+   * process may have been suspended since the start was sent, and starts must still
+   * be allowed.
    */
-  private mayRepeat (task: InFlightRun): boolean {
+  private mayRepeat (run: InFlightRun): boolean {
     this.options.beforeRenewal()
-    return task.stopReason === undefined && this.options.isInFlight(task) && this.options.mayStart()
+    return run.stopReason === undefined && this.options.isInFlight(run) && this.options.mayStart()
   }
 
-  private onStarted (task: InFlightRun): void {
-    this.options.onResolved(task)
-    if (task.stopReason !== undefined) void this.stop(task)
+  private onStarted (run: InFlightRun): void {
+    this.options.onResolved(run)
+    if (run.stopReason !== undefined) void this.stop(run)
   }
 
-  private onNotStarted (task: InFlightRun, reason: Reason): void {
-    this.options.onTerminated(task, { type: 'not_started', reason })
+  private onNotStarted (run: InFlightRun, reason: Reason): void {
+    this.options.onTerminated(run, { type: 'not_started', reason })
   }
 
-  private resolveUnknown (task: InFlightRun): void {
-    this.options.log('order_unanswered', { job: task.submission, task: task.index, run: task.run })
-    task.stopReason ??= REASONS.orderUnanswered
-    void this.stop(task)
+  private resolveUnknown (run: InFlightRun): void {
+    this.options.log('order_unanswered', { job: run.submission, task: run.index, run: run.run })
+    run.stopReason ??= REASONS.orderUnanswered
+    void this.stop(run)
   }
 }
--- a/packages/coordination/src/leased/endpointResponsiveness.ts
+++ b/packages/coordination/src/leased/endpointResponsiveness.ts
@@ -1,34 +1,36 @@
 import type { Clock } from '@hazellift/common'
 
-/** Runs that end at about the same time are looked at together. */
+/** Pause after an answered poll, so that the next one lists runs together that end at about the same time. */
 const ANSWERED_PAUSE_MS = 4
-/** Pause after a hold that failed at once, as the endpoint refuses connections. */
+/** Pause after a failed poll; polls fail at once while the endpoint refuses connections. */
 const FAILED_PAUSE_MS = 10
 /**
- * After so many holds in a row without an answer, for so long, the endpoint is
- * silent. With half of all calls lost that happens once in 500 times.
+ * The endpoint is unresponsive after this many unanswered polls in a row that
+ * also span this time. With half of all calls lost, that happens by chance once
+ * in 500 times.
  */
 const MIN_UNANSWERED_POLLS = 9
 const MIN_UNANSWERED_MS = 250
 /**
- * Pause between looks at a silent endpoint: each costs a connection. While
- * orders there are not settled, which may still be carried out, it must be
- * noticed soon that the endpoint answers again.
+ * Exponential pause between polls of an unresponsive endpoint, as each costs a
+ * connection. The maximum is lower while orders are unresolved: they may still
+ * be carried out, so it must be noticed soon that the endpoint answers again.
  */
 const UNRESPONSIVE_PAUSE = { baseMs: 60, maxMs: 480, maxUnresolvedMs: 100 }
-/** How long calls count as likely to be lost after one was. */
+/** How long further losses are expected after a lost call. */
 const LOSS_MEMORY_MS = 3000
 /**
- * How long a hold may wait for an end meanwhile: an end whose hold was lost is
- * told by the next one. Shorter waits cost connections, one for each lost hold:
- * with 8% of the calls lost for 12 s, 990 at 25 ms and 1290 at 10 ms, and as
- * many answers in time (0.994 and 0.995 of the value).
+ * Longest wait of a poll for an end while losses are expected: the end in a lost
+ * answer is listed again only by the next poll. A shorter wait costs more
+ * connections, one for each lost poll, and gains nothing: with 8% of calls lost
+ * for 12 s, 990 connections at 25 ms and 1290 at 10 ms, with about as many answers
+ * in time (0.994 and 0.995 of the value).
  */
 const LOSSY_POLL_WAIT_MS = 25
 
 /**
- * Whether the endpoint answers. Decides how long a hold may wait for an end,
- * how soon the next one follows, and when nothing is held any more.
+ * Tracks whether the endpoint answers calls. Decides how long a poll may wait
+ * for an end, when the next one follows, and when polls stop renewing the run lease.
  */
 export class EndpointResponsiveness {
   private unansweredPolls = 0
@@ -39,28 +41,28 @@
   private readonly waiters = new Set<() => void>()
 
   /**
-   * @param clock - the agent's
-   * @param waitMs - how long a hold may wait for an end while all calls are answered
+   * @param clock - the agent's clock
+   * @param waitMs - how long a poll may wait for an end while no calls are lost, in ms
    */
   constructor (private readonly clock: Pick<Clock, 'now'>, private readonly waitMs: number) {}
 
-  /** True once the endpoint has left so many holds unanswered that nothing is held on. */
+  /** True once the endpoint has left so many polls unanswered that the run lease is not renewed any more. */
   get isUnresponsive (): boolean {
     return this.unresponsive
   }
 
-  /** True if nothing takes connections at its address: its process has ended. */
+  /** True if connections to the endpoint's address are refused: its process has ended. */
   get isRefusingConnections (): boolean {
     return this.refusingConnections
   }
 
-  /** How long the next hold may wait for an end. */
+  /** How long the next poll may wait for an end, in ms. */
   get pollWaitMs (): number {
     if (this.unresponsive) return 0
     return this.clock.now() - this.lastLossAt < LOSS_MEMORY_MS ? Math.min(LOSSY_POLL_WAIT_MS, this.waitMs) : this.waitMs
   }
 
-  /** Pause before the next hold. */
+  /** Pause before the next poll, in ms. */
   get pauseMs (): number {
     if (this.unansweredPolls === 0) return ANSWERED_PAUSE_MS
     if (!this.unresponsive) return FAILED_PAUSE_MS
@@ -68,7 +70,7 @@
     return Math.min(maxMs, UNRESPONSIVE_PAUSE.baseMs * 2 ** Math.max(0, this.unansweredPolls - MIN_UNANSWERED_POLLS - 1))
   }
 
-  /** A hold was answered. */
+  /** A poll was answered: the endpoint is responsive. */
   onPollAnswered (): void {
     this.unansweredPolls = 0
     this.unresponsive = false
@@ -76,28 +78,28 @@
     this.releaseWaiters()
   }
 
-  /** Resolves at once, or when a silent endpoint has answered again; what must be repeated until then costs nothing. */
+  /** Resolves at once, or when an unresponsive endpoint answers a poll again, so that no call is repeated in vain. */
   untilResponsive (): Promise<void> {
     return this.unresponsive ? new Promise((resolve) => { this.waiters.add(resolve) }) : Promise.resolve()
   }
 
-  /** Nothing is waited for any more. */
+  /** Resolves all promises of `untilResponsive`; called also when the endpoint's incarnation ends. */
   releaseWaiters (): void {
     for (const resolve of this.waiters) resolve()
     this.waiters.clear()
   }
 
-  /** A call other than a hold was not answered. */
+  /** A call was not answered; unanswered polls of the regular sequence are reported by `onPollUnanswered`. */
   onCallLost (): void {
     this.lastLossAt = this.clock.now()
   }
 
   /**
-   * A hold was not answered.
+   * A poll of the regular sequence was not answered.
    *
-   * @param sentAt - when it was sent
-   * @param isRefused - nothing takes connections there
-   * @returns true if the endpoint counts as silent from now on
+   * @param sentAt - when it was sent, on the agent's clock
+   * @param isRefused - connections to the endpoint's address are refused
+   * @returns true if the endpoint has become unresponsive
    */
   onPollUnanswered (sentAt: number, isRefused: boolean): boolean {
     this.onCallLost()
--- a/packages/coordination/src/leased/endpointSupervisor.ts
+++ b/packages/coordination/src/leased/endpointSupervisor.ts
@@ -1,37 +1,39 @@
 import type { Resources } from '@hazellift/decisions'
 import { REASONS } from '@hazellift/protocol'
 import type { Reason } from '@hazellift/protocol'
-import { EndpointResponsiveness } from './endpointResponsiveness.js'
 import { EndpointOrders } from './endpointOrders.js'
-import { FreeCapacity } from './freeCapacity.js'
+import { EndpointResponsiveness } from './endpointResponsiveness.js'
 import type { EndpointSupervisorOptions } from './endpointSupervisorOptions.js'
+import { FreeCapacity } from './freeCapacity.js'
 import { taskNameOf } from './inFlightRun.js'
 import type { AttemptOutcome, InFlightRun } from './inFlightRun.js'
 import { runExpiryMs } from './times.js'
 import { RUN_ENDS } from './types.js'
-import type { PollOutcome, ListedEnd, RunRef } from './types.js'
+import type { ListedEnd, PollOutcome, RunRef } from './types.js'
 
-/** Pause between looks at what an earlier agent left. */
+/** Pause between polls that check whether the runs of an earlier agent have terminated. */
 const TAKEOVER_PAUSE_MS = 25
-/** A look waits no longer for an end while it takes the place of a hold that will be due at any moment. */
+/** Longest wait of a poll without renewal under an unverified entry lease: a renewal is due as soon as the lease is verified. */
 const UNVERIFIED_WAIT_MS = 25
-/** Unanswered looks in a row that are repeated at once; the next hold looks, too. */
+/** How often an unanswered immediate poll is repeated; the regular polls show the same. */
 const MAX_POLL_TRIES = 3
 
 /**
- * One life of the endpoint beside this agent: orders starts within its
- * capacity, holds what runs, and proves what is over.
+ * Supervises all runs of one endpoint incarnation: orders starts within its
+ * capacity, renews the run lease by polling, and confirms which runs have terminated.
  *
- * Invariant: a task leaves `tasks` only when the endpoint listed its end, when
- * a look sent after the endpoint settled its order (it runs, or never will)
- * does not show it, or when every hold sent has lapsed on the endpoint's clock.
+ * Invariant: a run leaves `inFlight` only when the endpoint has listed its end,
+ * when a poll sent after its order's outcome was known does not list it, when
+ * every run lease has expired on the endpoint's clock, or when the incarnation
+ * has ended.
  */
 export class EndpointSupervisor {
   private readonly inFlight = new Map<string, InFlightRun>()
   private readonly orders: EndpointOrders
+  /** Highest sequence number of the ends that were read. */
   private lastSeen = 0
   private pollCount = 0
-  /** The newest look whose answer was read. */
+  /** Number of the newest poll whose answer was read. */
   private lastAnsweredPoll = 0
   private leaseRenewedAt = -Infinity
   private readonly responsiveness: EndpointResponsiveness
@@ -40,7 +42,7 @@
   private isReady = false
   private isEnded = false
   private wake: (() => void) | undefined
-  /** What is left of the capacity; it takes another one at any time. */
+  /** The capacity that remains besides the runs in flight; the capacity itself may change at any time. */
   readonly remaining: FreeCapacity
 
   constructor (private readonly options: EndpointSupervisorOptions) {
@@ -49,99 +51,100 @@
     this.orders = new EndpointOrders({
       ...options,
       responsiveness: this.responsiveness,
-      isInFlight: (task) => !this.isEnded && this.isInFlight(task),
+      isInFlight: (run) => !this.isEnded && this.isInFlight(run),
       isEnded: () => this.isEnded,
       mayStart: () => options.mayStart() && !this.remaining.isOvercommitted,
       onRenewed: () => { this.leaseRenewedAt = options.clock.now() },
-      onResolved: (task) => { task.resolvedAtPoll = this.pollCount },
-      onTerminated: (task, over) => this.terminate(task, over),
+      onResolved: (run) => { run.resolvedAtPoll = this.pollCount },
+      onTerminated: (run, outcome) => this.onTerminated(run, outcome),
       onGone: () => this.onGone(),
       poll: () => { void this.pollNow() }
     })
     void this.keepPolling()
   }
 
-  /** Tasks not proved to be over. */
+  /** Number of runs that are not confirmed terminated. */
   get inFlightCount (): number {
     return this.inFlight.size
   }
 
-  /** True while starts are taken. */
+  /** True once the runs of earlier agents have terminated, until the incarnation ends. */
   get acceptsStarts (): boolean {
     return this.isReady && !this.isEnded
   }
 
-  /** What can be started beside everything that is not proved to be over. */
+  /** Resources for further starts; zero while the endpoint accepts no starts or is unresponsive. */
   get freeCapacity (): Resources {
     return this.acceptsStarts && !this.responsiveness.isUnresponsive ? this.remaining.free : { cpuMilli: 0, memoryMb: 0 }
   }
 
-  /** The task, if it is not proved to be over. */
+  /** The run of this task that is not confirmed terminated, if there is one. */
   find (submission: string, index: number): InFlightRun | undefined {
     return this.inFlight.get(taskNameOf({ submission, index }))
   }
 
-  /** Orders a start. The caller has checked the room and that the task is not here. */
-  start (submission: string, index: number, payload: string, need: Resources, onOver: (over: AttemptOutcome) => void): InFlightRun {
+  /** Orders a start. The caller has checked the free capacity and that no run of the task is in flight. */
+  start (submission: string, index: number, payload: string, need: Resources, onTerminated: (outcome: AttemptOutcome) => void): InFlightRun {
     const ref = { submission, index, run: 0 }
-    const task: InFlightRun = {
-      ...ref, payload, need, stopReason: undefined, resolvedAtPoll: undefined, startedAt: this.options.clock.now(), onTerminated: onOver
+    const run: InFlightRun = {
+      ...ref, payload, need, stopReason: undefined, resolvedAtPoll: undefined, startedAt: this.options.clock.now(), onTerminated
     }
-    this.inFlight.set(taskNameOf(ref), task)
-    void this.orders.start(task)
+    this.inFlight.set(taskNameOf(ref), run)
+    void this.orders.start(run)
     this.wake?.()
-    return task
+    return run
   }
 
-  /** Ends a task. Its end is told once it is proved. */
-  stop (task: InFlightRun, reason: Reason): void {
-    if (task.stopReason !== undefined) return
-    task.stopReason = reason
-    if (task.resolvedAtPoll !== undefined) void this.orders.stop(task)
+  /** Orders a stop; `onTerminated` of the run is called once its termination is confirmed. */
+  stop (run: InFlightRun, reason: Reason): void {
+    if (run.stopReason !== undefined) return
+    run.stopReason = reason
+    if (run.resolvedAtPoll !== undefined) void this.orders.stop(run)
   }
 
-  /** The endpoint is gone, and with it everything that ran there. */
+  /** The incarnation has ended, and all of its runs with it. */
   end (reason: Reason): void {
     if (this.isEnded) return
     this.isEnded = true
     this.wake?.()
     this.responsiveness.releaseWaiters()
-    for (const task of [...this.inFlight.values()]) this.terminate(task, { type: 'lost', reason })
+    for (const run of [...this.inFlight.values()]) this.onTerminated(run, { type: 'lost', reason })
   }
 
-  /** Looks at once, beside the hold that waits for an end; a look that is asked for meanwhile follows. */
+  /** Polls at once without renewal, beside the regular poll that waits for an end; a request during such a poll causes another one. */
   private async pollNow (): Promise<void> {
     this.mustPollAgain = true
     if (this.isPolling) return
     this.isPolling = true
-    for (let misses = 0; this.mustPollAgain && misses < MAX_POLL_TRIES && !this.isEnded;) {
+    for (let unanswered = 0; this.mustPollAgain && unanswered < MAX_POLL_TRIES && !this.isEnded;) {
       this.mustPollAgain = false
-      const hold = ++this.pollCount
+      const poll = ++this.pollCount
       const outcome = await this.options.endpoint.poll({ runLeaseMs: undefined, lastSeen: this.lastSeen, waitMs: 0 })
       if (this.isEnded) break
       if (outcome.type === 'gone') this.onGone()
-      else if (outcome.type === 'listed') this.reconcile(hold, outcome)
+      else if (outcome.type === 'listed') this.reconcile(poll, outcome)
       else {
         this.responsiveness.onCallLost()
         this.mustPollAgain = true
-        misses++
+        unanswered++
       }
     }
     this.isPolling = false
   }
 
+  /** The sequence of regular polls, from the takeover until the incarnation ends. */
   private async keepPolling (): Promise<void> {
     await this.stopEarlierRuns()
     while (!this.isEnded) {
-      // A silent endpoint gets no start, so it must be looked at until it answers again.
+      // An unresponsive endpoint gets no starts, so only polls can show that it answers again.
       const isIdle = this.inFlight.size === 0 && !this.responsiveness.isUnresponsive
       await (isIdle ? this.untilBusy() : this.pollOnce())
     }
   }
 
-  /** Nothing starts before whatever an earlier agent left has ended; it is not held on. */
+  /** Stops the runs of earlier agents without renewing their lease; nothing starts before they have terminated. */
   private async stopEarlierRuns (): Promise<void> {
-    const { clock, endpoint, log, onReady: onOpen } = this.options
+    const { clock, endpoint, log, onReady } = this.options
     while (!this.isEnded) {
       const outcome = await endpoint.poll({ runLeaseMs: undefined, lastSeen: this.lastSeen, waitMs: 0 })
       if (outcome.type === 'gone') return this.onGone()
@@ -149,7 +152,7 @@
         for (const { seq } of outcome.ended) this.lastSeen = Math.max(this.lastSeen, seq)
         if (outcome.running.length === 0) {
           this.isReady = true
-          return onOpen()
+          return onReady()
         }
         log('left_by_earlier_agent', { runs: outcome.running.length })
         await Promise.all(outcome.running.map((run) => endpoint.stop(run)))
@@ -164,75 +167,76 @@
   }
 
   private async pollOnce (): Promise<void> {
-    const { clock, endpoint, times, beforeRenewal: beforeHold } = this.options
-    beforeHold()
-    const hold = ++this.pollCount
+    const { clock, endpoint, times, beforeRenewal } = this.options
+    beforeRenewal()
+    const poll = ++this.pollCount
     const sentAt = clock.now()
-    const { isUnresponsive: isSilent, pollWaitMs: holdWaitMs } = this.responsiveness
-    const isDoubtful = this.options.isUnverified?.() === true
-    const holdMs = isSilent || isDoubtful ? undefined : times.runLeaseMs
-    if (holdMs !== undefined) this.leaseRenewedAt = sentAt
-    const waitMs = isDoubtful ? Math.min(UNVERIFIED_WAIT_MS, holdWaitMs) : holdWaitMs
-    const outcome = await endpoint.poll({ runLeaseMs: holdMs, lastSeen: this.lastSeen, waitMs })
+    const { isUnresponsive, pollWaitMs } = this.responsiveness
+    const isUnverified = this.options.isUnverified?.() === true
+    const runLeaseMs = isUnresponsive || isUnverified ? undefined : times.runLeaseMs
+    if (runLeaseMs !== undefined) this.leaseRenewedAt = sentAt
+    const waitMs = isUnverified ? Math.min(UNVERIFIED_WAIT_MS, pollWaitMs) : pollWaitMs
+    const outcome = await endpoint.poll({ runLeaseMs, lastSeen: this.lastSeen, waitMs })
     if (this.isEnded) return
     if (outcome.type === 'gone') return this.onGone()
     if (outcome.type === 'unknown') this.onPollUnanswered(sentAt, outcome.isRefused === true)
-    else this.onPollAnswered(hold, outcome)
+    else this.onPollAnswered(poll, outcome)
     await clock.sleep(Math.min(this.responsiveness.pauseMs, this.untilExpiryMs))
   }
 
-  /** Time until all that was held has lapsed, if that is still to be proved. */
+  /** Time in ms until the last run lease has expired; infinite if that confirms nothing any more. */
   private get untilExpiryMs (): number {
-    const leftMs = this.leaseRenewedAt + runExpiryMs(this.options.times) - this.options.clock.now()
-    return this.inFlight.size > 0 && leftMs > 0 ? leftMs : Infinity
+    const remainingMs = this.leaseRenewedAt + runExpiryMs(this.options.times) - this.options.clock.now()
+    return this.inFlight.size > 0 && remainingMs > 0 ? remainingMs : Infinity
   }
 
-  private onPollAnswered (hold: number, outcome: PollOutcome & { type: 'listed' }): void {
-    const wasSilent = this.responsiveness.isUnresponsive
+  private onPollAnswered (poll: number, outcome: PollOutcome & { type: 'listed' }): void {
+    const wasUnresponsive = this.responsiveness.isUnresponsive
     this.responsiveness.onPollAnswered()
-    this.reconcile(hold, outcome)
-    if (wasSilent) this.options.onCapacityFreed()
+    this.reconcile(poll, outcome)
+    if (wasUnresponsive) this.options.onCapacityFreed()
   }
 
   private onPollUnanswered (sentAt: number, isRefused: boolean): void {
-    const { clock, times, log, onCapacityFreed: onRoom, endReason } = this.options
+    const { clock, times, log, onCapacityFreed, endReason } = this.options
     if (this.responsiveness.onPollUnanswered(sentAt, isRefused)) {
-      log('endpoint_silent', { tasks: this.inFlight.size, refusing: isRefused })
-      onRoom()
+      log('endpoint_silent', { tasks: this.inFlight.size, connectionRefused: isRefused })
+      onCapacityFreed()
     }
     if (!this.responsiveness.isUnresponsive || clock.now() - this.leaseRenewedAt < runExpiryMs(times)) return
     const reason = this.responsiveness.isRefusingConnections ? endReason() : REASONS.endpointReset
-    for (const task of [...this.inFlight.values()]) this.terminate(task, { type: 'lost', reason })
+    for (const run of [...this.inFlight.values()]) this.onTerminated(run, { type: 'lost', reason })
   }
 
-  private reconcile (hold: number, { running, ended }: PollOutcome & { type: 'listed' }): void {
+  /** Confirms the termination of runs that the answer lists as ended or does not list, and stops listed runs that are unknown. */
+  private reconcile (poll: number, { running, ended }: PollOutcome & { type: 'listed' }): void {
     for (const end of ended) this.onListedEnd(end)
-    const shown = new Set(running.map(({ run, ...ref }) => `${taskNameOf(ref)}#${run}`))
-    for (const task of [...this.inFlight.values()]) {
-      const isSettled = task.resolvedAtPoll !== undefined && hold > task.resolvedAtPoll
-      if (!isSettled || shown.has(`${taskNameOf(task)}#${task.run}`)) continue
-      const reason = task.stopReason ?? REASONS.leaseExpired
-      this.terminate(task, reason === REASONS.orderUnanswered ? { type: 'not_started', reason } : { type: 'lost', reason })
+    const listed = new Set(running.map(({ run, ...ref }) => `${taskNameOf(ref)}#${run}`))
+    for (const run of [...this.inFlight.values()]) {
+      const isResolved = run.resolvedAtPoll !== undefined && poll > run.resolvedAtPoll
+      if (!isResolved || listed.has(`${taskNameOf(run)}#${run.run}`)) continue
+      const reason = run.stopReason ?? REASONS.leaseExpired
+      this.onTerminated(run, reason === REASONS.orderUnanswered ? { type: 'not_started', reason } : { type: 'lost', reason })
     }
-    // An answer that was overtaken by that of a later look may show what has ended since.
-    if (hold < this.lastAnsweredPoll) return
-    this.lastAnsweredPoll = hold
+    // An answer that arrives after that of a later poll may list runs that have ended since.
+    if (poll < this.lastAnsweredPoll) return
+    this.lastAnsweredPoll = poll
     for (const run of running) if (!this.inFlight.has(taskNameOf(run))) void this.stopOrphan(run)
   }
 
-  /** What runs here and is not known was ordered before this agent gave up on it, or by an earlier one. */
+  /** Stops a run that is not in flight: this agent considers it terminated, or an earlier agent ordered it. */
   private async stopOrphan (run: RunRef): Promise<void> {
-    this.options.log('stray_run', { job: run.submission, task: run.index, run: run.run })
+    this.options.log('orphaned_run', { job: run.submission, task: run.index, run: run.run })
     await this.options.endpoint.stop(run)
   }
 
   private onListedEnd (end: ListedEnd): void {
     if (end.seq <= this.lastSeen) return
     this.lastSeen = end.seq
-    const task = this.inFlight.get(taskNameOf(end))
-    if (task?.run !== end.run) return
-    const isCut = task.stopReason !== undefined && end.how !== RUN_ENDS.done && end.how !== RUN_ENDS.failed
-    this.terminate(task, isCut ? { type: 'lost', reason: task.stopReason! } : { type: 'ended', how: end.how })
+    const run = this.inFlight.get(taskNameOf(end))
+    if (run?.run !== end.run) return
+    const wasStopped = run.stopReason !== undefined && end.how !== RUN_ENDS.done && end.how !== RUN_ENDS.failed
+    this.onTerminated(run, wasStopped ? { type: 'lost', reason: run.stopReason! } : { type: 'ended', how: end.how })
   }
 
   private onGone (): void {
@@ -241,14 +245,14 @@
     this.options.onGone()
   }
 
-  private isInFlight (task: InFlightRun): boolean {
-    return this.inFlight.get(taskNameOf(task)) === task
+  private isInFlight (run: InFlightRun): boolean {
+    return this.inFlight.get(taskNameOf(run)) === run
   }
 
-  private terminate (task: InFlightRun, over: AttemptOutcome): void {
-    if (!this.isInFlight(task)) return
-    this.inFlight.delete(taskNameOf(task))
-    task.onTerminated(over)
+  private onTerminated (run: InFlightRun, outcome: AttemptOutcome): void {
+    if (!this.isInFlight(run)) return
+    this.inFlight.delete(taskNameOf(run))
+    run.onTerminated(outcome)
     this.options.onCapacityFreed()
   }
 }
--- a/packages/coordination/src/leased/endpointSupervisorOptions.ts
+++ b/packages/coordination/src/leased/endpointSupervisorOptions.ts
@@ -4,27 +4,27 @@
 import type { LeaseTimes } from './times.js'
 import type { LeasedEndpoint } from './types.js'
 
-/** What a life needs. */
+/** What an endpoint supervisor needs. */
 export interface EndpointSupervisorOptions {
   clock: Clock
   endpoint: LeasedEndpoint
   capacity: Resources
   times: LeaseTimes
-  /** How long the answer to a hold may wait for an end. */
+  /** How long the endpoint may delay the answer to a poll until a run ends, in ms. */
   pollWaitMs: number
-  /** Called before each hold: runs without authority must be stopped before they are held on. */
+  /** Called before each poll that may renew the run lease: stops runs without an entry lease, which must not be renewed. */
   beforeRenewal: () => void
-  /** True while what runs is looked at only, and not held on. */
+  /** True while some run's entry lease is unverified: polls do not renew the run lease then. */
   isUnverified?: () => boolean
-  /** False while nothing may be started; an order that was not answered is not repeated then. */
+  /** False while nothing may be started; an unanswered start is not repeated then. */
   mayStart: () => boolean
-  /** The room changed. */
+  /** The free capacity may have grown, or has become zero because the endpoint is unresponsive. */
   onCapacityFreed: () => void
-  /** Nothing of an earlier agent runs any more; starts are taken from now on. */
+  /** All runs of earlier agents have terminated: starts are accepted from now on. */
   onReady: () => void
-  /** Why runs are lost whose life has ended by itself. */
+  /** Reason for lost runs if the incarnation has ended on its own. */
   endReason: () => Reason
-  /** Another life of the endpoint has answered. */
+  /** Another incarnation of the endpoint has answered. */
   onGone: () => void
   log: (event: string, fields: Record<string, string | number | boolean | undefined>) => void
 }
