--- a/packages/coordination/src/leased/capacityOffers.ts
+++ b/packages/coordination/src/leased/capacityOffers.ts
@@ -7,20 +7,20 @@
 import type { LeasedSession } from './hostSessions.js'
 import { OfferRotation } from './offerRotation.js'
 
-/** What telling of room needs. */
+/** What capacity offers need. */
 export interface CapacityOffersOptions {
   clock: Clock
-  /** By the entry's incarnation. */
+  /** Open sessions, by the entry's incarnation. */
   sessions: ReadonlyMap<string, LeasedSession>
-  /** What can be started now. */
+  /** Resources for further starts. */
   freeCapacity: () => Resources
-  /** The whole. */
+  /** The endpoint's whole capacity. */
   capacity: () => Resources
-  /** Decides in place of the product's rule, for measurements. */
+  /** Chooses the entry that scarce free capacity is offered to; replaces the default rule in measurements. */
   offer?: Offer
 }
 
-/** Tells entries of the room at an endpoint: all of them while there is much, one at a time when it is scarce. */
+/** Offers an endpoint's free capacity to entries: to all of them while it is plentiful, to one at a time while it is scarce. */
 export class CapacityOffers {
   private readonly rotation: OfferRotation
 
@@ -28,17 +28,17 @@
     this.rotation = new OfferRotation(options.clock.now, options.offer ?? offer)
   }
 
-  /** Adds the room to a frame, if the entry does not know it. */
+  /** Adds the free capacity offered to the entry to a frame, unless it was reported already. */
   fillFrame (incarnation: string, frame: AgentFrame): void {
     const session = this.options.sessions.get(incarnation)
     if (session === undefined) return
-    const room = this.capacityFor(incarnation)
-    const isTold = room.cpuMilli === session.reportedCapacity.cpuMilli && room.memoryMb === session.reportedCapacity.memoryMb &&
+    const offered = this.capacityFor(incarnation)
+    const isReported = offered.cpuMilli === session.reportedCapacity.cpuMilli && offered.memoryMb === session.reportedCapacity.memoryMb &&
       session.startsSeen === session.reportedStartsSeen
-    if (isTold) return
-    session.reportedCapacity = room
+    if (isReported) return
+    session.reportedCapacity = offered
     session.reportedStartsSeen = session.startsSeen
-    frame.room = create(RoomSchema, { ...room, startsSeen: session.startsSeen })
+    frame.room = create(RoomSchema, { ...offered, startsSeen: session.startsSeen })
   }
 
   /** The entry has sent starts. */
@@ -47,16 +47,16 @@
     this.reportScarcity()
   }
 
-  /** The session has ended. */
+  /** The entry's session has ended. */
   forget (incarnation: string): void {
     this.rotation.forget(incarnation)
   }
 
-  /** Tells the entry whose turn it is of free room; if it does not use it, the next one, until each was told. */
+  /** Offers free capacity to the entry in turn; if it does not use it, to the next one, until each has had an offer. */
   offerFreeCapacity (): void {
-    const wanting = this.demands
-    if (wanting.length === 0 || this.options.freeCapacity().cpuMilli === 0) return
-    this.offerTo(this.rotation.entryInTurn(wanting)!, wanting.length - 1)
+    const demands = this.demands
+    if (demands.length === 0 || this.options.freeCapacity().cpuMilli === 0) return
+    this.offerTo(this.rotation.entryInTurn(demands)!, demands.length - 1)
   }
 
   private capacityFor (incarnation: string): Resources {
@@ -65,36 +65,38 @@
     return isOffered ? free : { cpuMilli: 0, memoryMb: 0 }
   }
 
+  /** Entries with tasks that wait for capacity. */
   private get demands (): WantingEntry[] {
-    const wanting: WantingEntry[] = []
-    for (const [incarnation, { demandPriority: wantingPriority }] of this.options.sessions) {
-      if (wantingPriority === undefined) continue
-      wanting.push({ incarnation, priority: wantingPriority, servedAt: this.rotation.lastServeOf(incarnation) })
+    const demands: WantingEntry[] = []
+    for (const [incarnation, { demandPriority }] of this.options.sessions) {
+      if (demandPriority === undefined) continue
+      demands.push({ incarnation, priority: demandPriority, servedAt: this.rotation.lastServeOf(incarnation) })
     }
-    return wanting
+    return demands
   }
 
   /**
-   * Entries that were told of much room, and would send for it, hear at once
-   * when it is nearly used up. Left to the next keep-alive, three of ten starts
-   * of ten entries at 62 agents arrived in vain.
+   * Updates at once, when free capacity has become scarce, the entries that were
+   * last told it was plentiful and would still send starts for it. If this waited
+   * for the next keep-alive frame, three of ten starts would be sent in vain with
+   * ten entries and 62 agents.
    */
   private reportScarcity (): void {
     const capacity = this.options.capacity()
     if (!isScarce(this.options.freeCapacity(), capacity)) return
-    for (const { reportedCapacity: told, add } of this.options.sessions.values()) if (!isScarce(told, capacity)) add(() => {})
+    for (const { reportedCapacity, add } of this.options.sessions.values()) if (!isScarce(reportedCapacity, capacity)) add(() => {})
   }
 
-  private offerTo (holder: string, others: number): void {
+  private offerTo (entry: string, remainingOffers: number): void {
     const { sessions, clock } = this.options
-    sessions.get(holder)?.add(() => {})
-    if (others > 0) clock.after(OFFER_MS, () => this.offerNext(holder, others))
+    sessions.get(entry)?.add(() => {})
+    if (remainingOffers > 0) clock.after(OFFER_MS, () => this.offerNext(entry, remainingOffers))
   }
 
-  private offerNext (holder: string, others: number): void {
-    if (this.rotation.entryInTurn(this.demands) !== holder) return
-    this.rotation.onServed(holder)
+  private offerNext (entry: string, remainingOffers: number): void {
+    if (this.rotation.entryInTurn(this.demands) !== entry) return
+    this.rotation.onServed(entry)
     const next = this.rotation.entryInTurn(this.demands)
-    if (next !== undefined && this.options.freeCapacity().cpuMilli > 0) this.offerTo(next, others - 1)
+    if (next !== undefined && this.options.freeCapacity().cpuMilli > 0) this.offerTo(next, remainingOffers - 1)
   }
 }
--- a/packages/coordination/src/leased/hostEndpoint.ts
+++ b/packages/coordination/src/leased/hostEndpoint.ts
@@ -9,19 +9,19 @@
 /** What the endpoint of a host needs. */
 export interface HostEndpointOptions extends Pick<LeasedHostOptions, 'times' | 'pollWaitMs' | 'log'> {
   clock: Clock
-  /** Called before each hold: runs without authority must be stopped before they are held on. */
+  /** Called before the run lease is renewed: stops runs without an entry lease, which must not be renewed. */
   beforeRenewal: () => void
-  /** True while what runs is looked at only, and not held on. */
+  /** True while some run's entry lease is unverified: polls do not renew the run lease then. */
   isUnverified: () => boolean
   /** False while nothing may be started. */
   mayStart: () => boolean
-  /** The room changed. */
+  /** The free capacity may have grown. */
   onCapacityFreed: () => void
-  /** Entries must hear of the endpoint. */
+  /** The state that is reported to entries has changed. */
   onChange: () => void
-  /** Nothing that waits can start any more. */
+  /** Waiting starts can't begin any more: the endpoint was removed. */
   onRemoved: () => void
-  /** Tasks that run or wait here. */
+  /** Number of tasks that run or wait here. */
   busyCount: () => number
 }
 
@@ -29,7 +29,7 @@
 
 const isEqual = (one: Resources, other: Resources): boolean => one.cpuMilli === other.cpuMilli && one.memoryMb === other.memoryMb
 
-/** The endpoint beside an agent: which life of it is served, with what capacity, and how lives end. */
+/** The endpoint beside an agent: its current incarnation, its announced capacity, and how incarnations end. */
 export class HostEndpoint {
   private current: EndpointSupervisor | undefined
   private announced: AnnouncedIncarnation | undefined
@@ -37,34 +37,34 @@
 
   constructor (private readonly options: HostEndpointOptions) {}
 
-  /** The life that is served. */
+  /** Supervisor of the current incarnation; undefined while there is none. */
   get supervisor (): EndpointSupervisor | undefined {
     return this.current
   }
 
-  /** Its name. */
+  /** Name of the current incarnation; undefined while there is none. */
   get incarnation (): string | undefined {
     return this.announced?.incarnation
   }
 
-  /** All that it has, as it told last. */
+  /** The whole capacity, as last announced; zero without an endpoint. */
   get capacity (): Resources {
     return this.announced?.capacity ?? NO_CAPACITY
   }
 
-  /** True once the life has said that it leaves. */
+  /** True once the current incarnation has announced that it leaves. */
   get isDraining (): boolean {
     return this.draining
   }
 
-  /** What entries are told: of a life once it takes starts, as then nothing that an earlier agent left runs any more. */
+  /** What is reported to entries. An incarnation is reported only once it accepts starts: the runs of earlier agents have terminated then. */
   get state (): EndpointState {
     return describeIncarnation(this.current?.acceptsStarts === true ? this.announced : undefined)
   }
 
-  /** A new life; everything of an earlier one is over. */
+  /** Begins a new incarnation; all runs of an earlier one have terminated. */
   begin (announced: AnnouncedIncarnation): void {
-    const { clock, times, pollWaitMs: holdWaitMs, log, beforeRenewal: beforeHold, isUnverified: isDoubtful, mayStart, onCapacityFreed: onRoom, onChange } = this.options
+    const { clock, times, pollWaitMs, log, beforeRenewal, isUnverified, mayStart, onCapacityFreed, onChange } = this.options
     this.remove(REASONS.endpointCrashed)
     this.announced = announced
     this.draining = false
@@ -72,20 +72,20 @@
       clock,
       times,
       log,
-      beforeRenewal: beforeHold,
-      isUnverified: isDoubtful,
+      beforeRenewal,
+      isUnverified,
       mayStart,
-      onCapacityFreed: onRoom,
+      onCapacityFreed,
       endpoint: announced.endpoint,
       capacity: announced.capacity,
-      pollWaitMs: holdWaitMs,
+      pollWaitMs,
       endReason: () => this.endReasonOf(REASONS.endpointCrashed),
       onReady: onChange,
       onGone: () => this.remove(REASONS.endpointCrashed)
     })
   }
 
-  /** It has told another capacity: what runs goes on, and nothing starts until it fits. */
+  /** Adopts another announced capacity: runs continue, and nothing starts that does not fit beside them. */
   setCapacity (capacity: Resources): void {
     const { announced, current } = this
     if (announced === undefined || current === undefined || isEqual(announced.capacity, capacity)) return
@@ -98,26 +98,30 @@
     this.options.onCapacityFreed()
   }
 
-  /** It says that it leaves. */
+  /** The current incarnation has announced that it leaves. */
   drain (): void {
     this.draining = true
   }
 
-  /** It ended, or must get no more work. */
+  /**
+   * Removes the current incarnation: it has ended, or must get no more work.
+   *
+   * @param why - replaced by `endpointGone` if it crashed after it had announced that it leaves
+   */
   remove (why: Reason): void {
     if (this.announced === undefined) return
-    const { log, busyCount: busy, onRemoved, onChange } = this.options
+    const { log, busyCount, onRemoved, onChange } = this.options
     const reason = this.endReasonOf(why)
-    log('endpoint_removed', { endpoint: this.announced.incarnation, reason, tasks: busy() })
-    const life = this.current
+    log('endpoint_removed', { endpoint: this.announced.incarnation, reason, tasks: busyCount() })
+    const supervisor = this.current
     this.current = undefined
     this.announced = undefined
     onRemoved()
-    life?.end(reason)
+    supervisor?.end(reason)
     onChange()
   }
 
-  /** A life that had said that it leaves ends as planned, however it ends. */
+  /** An incarnation that has announced that it leaves ends as planned, even by a crash. */
   private endReasonOf (why: Reason): Reason {
     return this.draining && why === REASONS.endpointCrashed ? REASONS.endpointGone : why
   }
--- a/packages/coordination/src/leased/hostEvacuations.ts
+++ b/packages/coordination/src/leased/hostEvacuations.ts
@@ -1,30 +1,30 @@
 import type { AgentFrame, EntryFrame } from '@hazellift/protocol'
 import { EvacuationList } from './evacuationList.js'
 
-/** What an agent's part needs. */
+/** What an agent's evacuations need. */
 export interface HostEvacuationsOptions {
   /** Availability zone of the endpoint. */
   zone: string
-  /** The endpoint's zone is evacuated from now on, or no more. */
+  /** The evacuation of the endpoint's zone has begun or ended. */
   onChange: () => void
 }
 
 /**
- * An agent's side of evacuations: it knows of itself whether its endpoint may
- * get starts, whatever entries believe, and tells entries that know less, as
- * those that cannot read the store.
+ * An agent's list of evacuated availability zones. The agent decides by its own
+ * list whether its endpoint may get starts, whatever entries believe, and sends
+ * the list to entries that have an older one, such as those that cannot read the store.
  */
 export class HostEvacuations {
   private readonly list = new EvacuationList()
 
   constructor (private readonly options: HostEvacuationsOptions) {}
 
-  /** True while no start may go to the endpoint. */
+  /** True while the endpoint's zone is evacuated: no start may go to the endpoint. */
   get isEvacuated (): boolean {
     return this.list.has(this.options.zone)
   }
 
-  /** Takes what a frame tells; to be called before its starts are looked at. */
+  /** Adopts the frame's list if it is newer; to be called before the frame's starts are handled. */
   onFrame ({ evacuations }: EntryFrame): void {
     if (evacuations === undefined) return
     const before = this.isEvacuated
@@ -33,9 +33,9 @@
   }
 
   /**
-   * Adds the list to a frame if the entry has an older one.
+   * Adds the list's version to a frame, and the list if the entry has an older one.
    *
-   * @param knownVersion - as the entry's latest frame told; unset before its first
+   * @param knownVersion - of the entry's list, by its latest frame; undefined before the first
    */
   fillFrame (frame: AgentFrame, knownVersion: bigint | undefined): void {
     frame.evacuationsVersion = this.list.version
--- a/packages/coordination/src/leased/hostSessions.ts
+++ b/packages/coordination/src/leased/hostSessions.ts
@@ -10,20 +10,21 @@
 /** An agent's session with an entry. */
 export interface LeasedSession {
   add: AddToFrame
-  /** Priority of the first task that waits at the entry; unset while none does. */
+  /** Priority of the first task that waits at the entry; undefined while none waits. */
   demandPriority: number | undefined
-  /** Room that the entry was told last. */
+  /** Free capacity that was last reported to the entry. */
   reportedCapacity: Resources
-  /** Starts that arrived on this session. */
+  /** Number of starts received on this session. */
   startsSeen: number
+  /** The number of starts that was last reported to the entry. */
   reportedStartsSeen: number
   /** The next frame carries the configuration document. */
   isConfigDue: boolean
-  /** Version of the entry's list of evacuated zones; unset before its first frame. */
+  /** Version of the entry's list of evacuated zones; undefined before its first frame. */
   evacuationsVersion: bigint | undefined
   /** Results that the next frame carries. */
   results: TaskResult[]
-  /** It will be ended; the entry sends no start on it any more. */
+  /** The session will be ended; the entry is asked to send no more starts on it. */
   isRetired: boolean
 }
 
@@ -39,20 +40,20 @@
   isRetired: false
 })
 
-/** Results of entries that never came back are dropped after this time. */
+/** Results for entries that do not reconnect are dropped after this time. */
 const MAILBOX_MEMORY_MS = 30_000
 
 /**
- * Longest wait of a result for those of the same job's other tasks here: runs of
- * 100 ms that differ by 15% end within some 30 ms of each other, and the answer
- * waits for the last of them anyway. 4.04 frames a task instead of 4.36, emulated
- * at two thirds of the capacity with all sessions, 8 seeds.
+ * Longest time that a result waits for those of the same job's other tasks here:
+ * runs of 100 ms that differ by 15% end within some 30 ms of each other, and the
+ * job's answer needs the last of them anyway. Without the wait, agents send 4.36
+ * frames a task instead of 4.04 at two thirds of the capacity.
  */
 const RESULT_WAIT_MS = 30
 
-/** An agent's sessions with entries, with the results and the configuration that they carry. */
+/** An agent's sessions with entries, and the results and configuration documents that they carry. */
 export class HostSessions {
-  /** By the entry's incarnation. */
+  /** Open sessions, by the entry's incarnation. */
   readonly open = new Map<string, LeasedSession>()
   private readonly mailboxes: Mailboxes
   private readonly config = new ConfigCopy()
@@ -61,33 +62,35 @@
     this.mailboxes = new Mailboxes(clock.now)
   }
 
-  /** Results that no entry has acknowledged yet. */
+  /** Number of results that no entry has acknowledged yet. */
   get unacked (): number {
     return this.mailboxes.unackedCount
   }
 
-  /** Version of the configuration document held here. */
+  /** Version of the agent's copy of the configuration document; 0 if it has none. */
   get configVersion (): bigint {
     return this.config.version
   }
 
-  /** The session that this sender belongs to, if it is the entry's latest. */
+  /** The session that this sender belongs to; undefined if the entry has a later session or none. */
   find (incarnation: string, add: AddToFrame): LeasedSession | undefined {
     const session = this.open.get(incarnation)
     return session?.add === add ? session : undefined
   }
 
   /**
-   * A session has begun; the entry learns what is here of its tasks.
+   * Begins a session: the entry is sent the keys of its tasks here and its unacknowledged results.
    *
-   * @param held - tasks of the entry that run or wait
-   * @param isLeaving - no start is taken any more
+   * @param incarnation - the entry's incarnation
+   * @param add - adds to the next frame of the session
+   * @param keys - tasks of the entry that run or wait
+   * @param isLeaving - no starts are accepted any more
    */
-  begin (incarnation: string, add: AddToFrame, held: TaskKey[], isLeaving: boolean): void {
+  begin (incarnation: string, add: AddToFrame, keys: TaskKey[], isLeaving: boolean): void {
     this.open.set(incarnation, newSession(add))
     const unacked = this.mailboxes.unackedOf(incarnation)
     add((frame) => {
-      frame.resume = create(ResumeSchema, { held: [...held, ...unacked.map(({ key }) => key!)] })
+      frame.resume = create(ResumeSchema, { held: [...keys, ...unacked.map(({ key }) => key!)] })
       frame.leaving = isLeaving
       frame.results.push(...unacked)
     })
@@ -98,9 +101,11 @@
   }
 
   /**
-   * Tells an entry how a task of its ended, now or in its next session.
+   * Reports the result of a task to its entry, now or in its next session.
    *
-   * @param isUrgent - false if the entry cannot do anything with it yet: it waits for the next frame, or a moment
+   * @param incarnation - the entry's incarnation
+   * @param result - numbered and stored until it is acknowledged
+   * @param isUrgent - false if the entry cannot use the result yet: it goes with the next frame, after `RESULT_WAIT_MS` at the latest
    */
   reportResult (incarnation: string, result: TaskResult, isUrgent: boolean): void {
     this.mailboxes.put(incarnation, result)
@@ -108,7 +113,7 @@
     if (session === undefined) return
     const isFirst = session.results.length === 0
     session.results.push(result)
-    // An entry with tasks that wait counts on what ends: it is told at once.
+    // An entry with waiting tasks needs the freed capacity, so it gets the result at once.
     if (isUrgent || session.demandPriority !== undefined) session.add(() => {})
     else if (isFirst) this.clock.after(RESULT_WAIT_MS, () => { if (session.results.length > 0) session.add(() => {}) })
   }
@@ -117,7 +122,13 @@
     this.mailboxes.acknowledge(incarnation, seq)
   }
 
-  /** Tells an entry, or all of them, of the endpoint. */
+  /**
+   * Reports the endpoint's state to entries.
+   *
+   * @param endpoint - its state
+   * @param leaving - no starts are accepted any more
+   * @param incarnations - the entries; all with an open session by default
+   */
   reportEndpoint (endpoint: EndpointState, leaving: boolean, incarnations: Iterable<string> = this.open.keys()): void {
     for (const incarnation of incarnations) {
       const session = this.open.get(incarnation)
@@ -125,23 +136,23 @@
     }
   }
 
-  /** The entry sends no start on this session any more: it will be ended. */
+  /** Asks the entry to send no more starts on this session, which will be ended. */
   retire (session: LeasedSession): void {
     session.isRetired = true
     session.add((frame) => { frame.leaving = true })
   }
 
-  /** Sends each entry a fresh stamp, at once. */
+  /** Sends each entry a frame with a new timestamp at once, so that it echoes it. */
   requestEchoes (): void {
     for (const { add } of this.open.values()) add(() => {})
   }
 
-  /** No start is taken any more. */
+  /** Reports to all entries that no starts are accepted any more. */
   reportLeaving (): void {
     for (const { add } of this.open.values()) add((frame) => { frame.leaving = true })
   }
 
-  /** Takes a newer document from an entry, and owes ours to one that wants it. */
+  /** Adopts the frame's configuration document if it is newer, and sends the agent's copy if the entry asks for it. */
   onConfig (session: LeasedSession, { configVersion, config, wantsConfig }: EntryFrame): void {
     if (config.length > 0) this.config.update(configVersion, config)
     if (!wantsConfig) return
@@ -149,7 +160,7 @@
     session.add(() => {})
   }
 
-  /** Adds what a frame tells of the sessions and the configuration, as it leaves: a document must go with its own version. */
+  /** Fills a frame with results and the configuration as it is sent, so that a document goes with its own version. */
   fillFrame (incarnation: string, frame: AgentFrame): void {
     frame.entries = this.open.size
     frame.configVersion = this.config.version
@@ -161,7 +172,7 @@
     frame.config = this.config.document
   }
 
-  /** Forgets results of entries that are gone. */
+  /** Drops the results of entries that have not reconnected for a while. */
   sweep (): void {
     this.mailboxes.sweep((incarnation) => this.open.has(incarnation), this.clock.now() - MAILBOX_MEMORY_MS)
   }
--- a/packages/coordination/src/leased/hostTasks.ts
+++ b/packages/coordination/src/leased/hostTasks.ts
@@ -10,38 +10,38 @@
 
 type RunningTask = Pick<WaitingStart, 'owner' | 'key' | 'expectedMs'> & { run: InFlightRun }
 
-/** A task that runs or waits, and the entry that sent it. */
+/** A task that runs or waits at an agent, and the entry that sent it. */
 export type OwnedTask = Pick<WaitingStart, 'owner' | 'key'>
 
 /** What the tasks at an agent need. */
 export interface HostTasksOptions {
   clock: Pick<Clock, 'now'>
-  /** A run was done. */
+  /** A task has succeeded. */
   onDone: (runMs: number, expectedMs: number) => void
-  /** A start is over, however it ended. */
+  /** Reports the result of a start to its entry, however it ended. */
   report: (owner: string, key: TaskKey, outcome: TaskOutcome, reason: Reason | '', runMs: number) => void
 }
 
-/** Tasks at an agent: those that wait for room, and those ordered at the endpoint and not proved over. */
+/** The tasks at an agent: those that wait for free capacity, and those whose runs are in flight. */
 export class HostTasks {
   readonly waiting = new WaitingStarts()
   private running: RunningTask[] = []
 
   constructor (private readonly options: HostTasksOptions) {}
 
-  /** Tasks that run or wait. */
+  /** Number of tasks that run or wait. */
   get busyCount (): number {
     return this.running.length + this.waiting.size
   }
 
-  /** Tasks that run. */
+  /** Number of tasks that run. */
   get runningCount (): number {
     return this.running.length
   }
 
-  /** What runs, for a judgement of the endpoint's speed. */
+  /** The running tasks, for the estimate of the endpoint's speed. */
   get runs (): RunInProgress[] {
-    return this.running.map(({ run: held, expectedMs }) => ({ startedAt: held.startedAt, expectedMs }))
+    return this.running.map(({ run, expectedMs }) => ({ startedAt: run.startedAt, expectedMs }))
   }
 
   /** Tasks of an entry that run or wait. */
@@ -49,41 +49,48 @@
     return [...this.running, ...this.waiting].filter(({ owner }) => owner === incarnation)
   }
 
-  /** True if a task of such an entry runs and is not being stopped. */
-  isRunningFor (isMeant: (incarnation: string) => boolean): boolean {
-    return this.running.some(({ owner, run: held }) => held.stopReason === undefined && isMeant(owner))
+  /** True if a task of a matching entry runs and is not being stopped. */
+  isRunningFor (matches: (incarnation: string) => boolean): boolean {
+    return this.running.some(({ owner, run }) => run.stopReason === undefined && matches(owner))
   }
 
-  /** Begins what waits, as far as it fits. */
-  startFitting (life: EndpointSupervisor): void {
-    for (let start = this.waiting.takeFirst(life.freeCapacity); start !== undefined; start = this.waiting.takeFirst(life.freeCapacity)) this.run(life, start)
+  /** Starts waiting tasks in order, as long as the first one fits the free capacity. */
+  startFitting (supervisor: EndpointSupervisor): void {
+    for (let start = this.waiting.takeFirst(supervisor.freeCapacity); start !== undefined; start = this.waiting.takeFirst(supervisor.freeCapacity)) this.start(supervisor, start)
   }
 
-  /** Gives back what waits and is meant. */
-  refuse (isRefused: (start: WaitingStart) => boolean, reason: Reason): void {
-    for (const { owner, key } of this.waiting.removeMatching(isRefused)) this.options.report(owner, key, TASK_OUTCOMES.notStarted, reason, 0)
+  /** Rejects matching starts that wait, with nothing run. */
+  refuse (matches: (start: WaitingStart) => boolean, reason: Reason): void {
+    for (const { owner, key } of this.waiting.removeMatching(matches)) this.options.report(owner, key, TASK_OUTCOMES.notStarted, reason, 0)
   }
 
-  /** Stops what runs and is meant, unless that was asked for before. */
-  stop (life: EndpointSupervisor | undefined, isMeant: (task: OwnedTask) => boolean, reason: Reason, onStop: (task: OwnedTask) => void = () => {}): void {
-    for (const task of this.running.filter(isMeant)) {
+  /**
+   * Stops matching tasks that run, except those that are being stopped already.
+   *
+   * @param supervisor - of the endpoint; undefined if there is none
+   * @param matches - chooses the tasks
+   * @param reason - reported to their entries
+   * @param onStop - called for each task that is stopped by this call
+   */
+  stop (supervisor: EndpointSupervisor | undefined, matches: (task: OwnedTask) => boolean, reason: Reason, onStop: (task: OwnedTask) => void = () => {}): void {
+    for (const task of this.running.filter(matches)) {
       if (task.run.stopReason !== undefined) continue
       onStop(task)
-      life?.stop(task.run, reason)
+      supervisor?.stop(task.run, reason)
     }
   }
 
-  private run (life: EndpointSupervisor, { owner, key, payload, need, expectedMs }: WaitingStart): void {
-    const run = life.start(key.submission, key.task, payload, need, (over) => this.onTerminated(running, over))
+  private start (supervisor: EndpointSupervisor, { owner, key, payload, need, expectedMs }: WaitingStart): void {
+    const run = supervisor.start(key.submission, key.task, payload, need, (outcome) => this.onTerminated(running, outcome))
     const running = { owner, key, run, expectedMs }
     this.running.push(running)
   }
 
-  private onTerminated (running: RunningTask, over: AttemptOutcome): void {
+  private onTerminated (running: RunningTask, attempt: AttemptOutcome): void {
     this.running = this.running.filter((other) => other !== running)
-    const { owner, key, run: held, expectedMs } = running
-    const runMs = Math.round(this.options.clock.now() - held.startedAt)
-    const { outcome, reason, hasRun } = describeEnd(over)
+    const { owner, key, run, expectedMs } = running
+    const runMs = Math.round(this.options.clock.now() - run.startedAt)
+    const { outcome, reason, hasRun } = describeEnd(attempt)
     if (outcome === TASK_OUTCOMES.done) this.options.onDone(runMs, expectedMs)
     this.options.report(owner, key, outcome, reason, hasRun ? runMs : 0)
   }
--- a/packages/coordination/src/leased/leasedHost.ts
+++ b/packages/coordination/src/leased/leasedHost.ts
@@ -4,6 +4,7 @@
 import { REASONS, TASK_OUTCOMES, TaskKeySchema, TaskResultSchema } from '@hazellift/protocol'
 import type { AgentFrame, EntryFrame, LeasedStart, Reason, Revoke, TaskKey, TaskOutcome } from '@hazellift/protocol'
 import type { SessionHost, AddToFrame } from '../session/types.js'
+import { CapacityOffers } from './capacityOffers.js'
 import { EntryLeases } from './entryLeases.js'
 import { HostEndpoint } from './hostEndpoint.js'
 import { HostEvacuations } from './hostEvacuations.js'
@@ -11,16 +12,16 @@
 import { HostTasks } from './hostTasks.js'
 import type { OwnedTask } from './hostTasks.js'
 import type { AnnouncedIncarnation, LeasedHostOptions } from './leasedHostOptions.js'
-import { CapacityOffers } from './capacityOffers.js'
 import { SpeedRecord } from './speedRecord.js'
 import { verificationMs } from './times.js'
 
 const NO_CAPACITY: Resources = { cpuMilli: 0, memoryMb: 0 }
 
 /**
- * An agent's side of jobs that are not kept. It runs tasks of an entry only
- * under authority that the entry renews by echoing the agent's own clock; when
- * it lapses, the entry's tasks are stopped and none is held on.
+ * An agent's side of ephemeral jobs, which end with their entry. The agent runs
+ * tasks of an entry only under an entry lease, which the entry renews by echoing
+ * the agent's own timestamps. When the lease expires, the entry's tasks are stopped
+ * before the run lease at the endpoint is renewed again.
  */
 export class LeasedHost implements SessionHost {
   private readonly sessions: HostSessions
@@ -65,17 +66,17 @@
     this.speed = new SpeedRecord(options.clock)
   }
 
-  /** Tasks that run or wait here. */
+  /** Number of tasks that run or wait here. */
   get busyCount (): number {
     return this.tasks.busyCount
   }
 
-  /** Results that no entry has acknowledged yet. */
+  /** Number of results that no entry has acknowledged yet. */
   get unacked (): number {
     return this.sessions.unacked
   }
 
-  /** Incarnation of the endpoint's life that is served now. */
+  /** Name of the endpoint's current incarnation; undefined while there is none. */
   get endpointIncarnation (): string | undefined {
     return this.endpoint.incarnation
   }
@@ -85,35 +86,35 @@
     return this.evacuations.isEvacuated
   }
 
-  /** Version of the configuration document held here. */
+  /** Version of the agent's copy of the configuration document; 0 if it has none. */
   get configVersion (): bigint {
     return this.sessions.configVersion
   }
 
-  /** A new life of the endpoint; everything of an earlier one is over. */
+  /** Begins a new incarnation of the endpoint; all runs of an earlier one have terminated. */
   setEndpoint (announced: AnnouncedIncarnation): void {
     this.speed = new SpeedRecord(this.options.clock)
     this.endpoint.begin(announced)
   }
 
-  /** The endpoint has told another capacity: what runs goes on, and nothing starts until it fits. */
+  /** Adopts another capacity that the endpoint has announced: runs continue, and nothing starts that does not fit beside them. */
   setCapacity (capacity: Resources): void {
     this.endpoint.setCapacity(capacity)
   }
 
-  /** The endpoint ended, or must get no more work. */
+  /** Removes the endpoint, which has ended or must get no more work. */
   removeEndpoint (reason: Reason): void {
     this.endpoint.remove(reason)
   }
 
-  /** The endpoint drains: it gets no start any more, what runs is finished. */
+  /** The endpoint drains: it gets no more starts, and what runs is finished. */
   drain (): void {
     if (this.endpoint.isDraining) return
     this.endpoint.drain()
     this.leave()
   }
 
-  /** The agent stops: the same for good. */
+  /** The agent stops: no endpoint gets a start any more, and what runs is finished. */
   stop (): void {
     this.isStopping = true
     this.leave()
@@ -128,7 +129,7 @@
   closeSession (incarnation: string, add: AddToFrame): void {
     if (this.sessions.find(incarnation, add) === undefined) return
     this.entryLeases.onSessionChange(incarnation)
-    // What runs for the entry goes on until its authority lapses: the session may resume.
+    // The entry's tasks run on until its lease expires, as it may open another session before.
     this.sessions.end(incarnation)
     this.offers.forget(incarnation)
   }
@@ -169,7 +170,7 @@
     this.offers.fillFrame(incarnation, frame)
   }
 
-  /** Nothing that waits may start any more, or room is offered again; what runs is finished either way. */
+  /** Rejects waiting starts once the zone is evacuated, or offers free capacity again; what runs is finished either way. */
   private onEvacuation (): void {
     const { isEvacuated } = this.evacuations
     this.options.log(isEvacuated ? 'zone_evacuated' : 'zone_restored', { zone: this.options.zone, tasks: this.busyCount })
@@ -186,7 +187,7 @@
     return this.isStopping || this.endpoint.isDraining
   }
 
-  /** True while the endpoint gets no start. */
+  /** True while no start may go to the endpoint. */
   private get isClosedToStarts (): boolean {
     return this.isLeaving || this.evacuations.isEvacuated
   }
@@ -196,12 +197,12 @@
     return this.tasks.waiting.capacityAfter(this.endpoint.supervisor.freeCapacity)
   }
 
-  /** Stops what runs without authority. */
+  /** Stops runs whose entry lease has expired, and rejects waiting starts without a valid one. */
   private stopExpired (): void {
     this.entryLeases.check()
-    const isLapsed = ({ owner }: OwnedTask): boolean => !this.entryLeases.isValid(owner) && !this.entryLeases.isUnverified(owner)
-    this.tasks.stop(this.endpoint.supervisor, isLapsed, REASONS.leaseExpired, ({ owner, key }) =>
-      this.options.log('authority_lapsed', { job: key.submission, task: key.task, entry: owner }))
+    const isExpired = ({ owner }: OwnedTask): boolean => !this.entryLeases.isValid(owner) && !this.entryLeases.isUnverified(owner)
+    this.tasks.stop(this.endpoint.supervisor, isExpired, REASONS.leaseExpired, ({ owner, key }) =>
+      this.options.log('entry_lease_expired', { job: key.submission, task: key.task, entry: owner }))
     this.refuseStale()
     this.sessions.sweep()
   }
@@ -210,17 +211,17 @@
     this.tasks.refuse(({ owner }) => !this.entryLeases.isValid(owner), REASONS.staleStart)
   }
 
-  /** True while something runs whose authority is in doubt: nothing is held on or started then, as a start holds all that runs. */
+  /** True while something runs under an unverified entry lease. Nothing is started then, as a start renews the run lease of everything at the endpoint. */
   private get hasUnverifiedRuns (): boolean {
     return this.tasks.isRunningFor((owner) => this.entryLeases.isUnverified(owner))
   }
 
   private onStart (owner: string, { workspace, submission, payload, tasks, need, waitMs, expectedMs }: LeasedStart): void {
-    const until = this.options.clock.now() + waitMs
+    const expiresAt = this.options.clock.now() + waitMs
     for (const { index, attempt } of tasks) {
       const key = create(TaskKeySchema, { workspace, submission, task: index, attempt })
       const refusal = this.refusalOf(owner, key)
-      if (refusal === undefined) this.tasks.waiting.add({ owner, key, payload, need: need ?? NO_CAPACITY, expiresAt: until, expectedMs })
+      if (refusal === undefined) this.tasks.waiting.add({ owner, key, payload, need: need ?? NO_CAPACITY, expiresAt, expectedMs })
       else this.report(owner, key, TASK_OUTCOMES.notStarted, refusal)
     }
     this.startWaiting()
@@ -231,28 +232,28 @@
     if (!this.entryLeases.isValid(owner)) return REASONS.staleStart
     if (this.evacuations.isEvacuated) return REASONS.zoneEvacuated
     if (this.isLeaving || this.endpoint.supervisor?.acceptsStarts !== true) return REASONS.endpointGone
-    const isHere = this.endpoint.supervisor.find(key.submission, key.task) !== undefined || this.tasks.waiting.has(key)
-    return isHere ? REASONS.duplicateStart : undefined
+    const isDuplicate = this.endpoint.supervisor.find(key.submission, key.task) !== undefined || this.tasks.waiting.has(key)
+    return isDuplicate ? REASONS.duplicateStart : undefined
   }
 
   private startWaiting (): void {
-    const { supervisor: life } = this.endpoint
-    if (life === undefined || this.isClosedToStarts || this.tasks.waiting.size === 0) return
-    // This process may have stood still since they came.
+    const { supervisor } = this.endpoint
+    if (supervisor === undefined || this.isClosedToStarts || this.tasks.waiting.size === 0) return
+    // This process may have been suspended since the starts arrived.
     this.entryLeases.check()
     this.refuseStale()
-    if (!this.hasUnverifiedRuns) this.tasks.startFitting(life)
+    if (!this.hasUnverifiedRuns) this.tasks.startFitting(supervisor)
   }
 
   private expireWaiting (now = this.options.clock.now()): void {
-    this.tasks.refuse(({ expiresAt: until }) => until <= now, REASONS.noSlot)
+    this.tasks.refuse(({ expiresAt }) => expiresAt <= now, REASONS.noSlot)
   }
 
   private onRevoke (incarnation: string, { submission, tasks }: Revoke): void {
-    const isMeant = ({ owner, key }: OwnedTask): boolean =>
+    const matches = ({ owner, key }: OwnedTask): boolean =>
       owner === incarnation && key.submission === submission && (tasks.length === 0 || tasks.includes(key.task))
-    this.tasks.refuse(isMeant, REASONS.revoked)
-    this.tasks.stop(this.endpoint.supervisor, isMeant, REASONS.revoked)
+    this.tasks.refuse(matches, REASONS.revoked)
+    this.tasks.stop(this.endpoint.supervisor, matches, REASONS.revoked)
   }
 
   private report (owner: string, key: TaskKey, outcome: TaskOutcome, reason: Reason | '', runMs = 0): void {
--- a/packages/coordination/src/leased/leasedHostOptions.ts
+++ b/packages/coordination/src/leased/leasedHostOptions.ts
@@ -6,24 +6,24 @@
 
 type LogFields = Record<string, string | number | boolean | undefined>
 
-/** What the host needs. */
+/** What a leased host needs. */
 export interface LeasedHostOptions {
   clock: Clock
-  /** Notices what the clock has not counted; one of its own if unset. */
+  /** Detects suspensions, which the clock does not count; the host creates one if undefined. */
   watch?: SuspensionWatch
   /** Availability zone of the endpoint. */
   zone: string
   times: LeaseTimes
-  /** How long the endpoint may wait for an end before it answers a hold, in ms. */
+  /** How long the endpoint may delay the answer to a poll until a run ends, in ms. */
   pollWaitMs: number
   log: (event: string, fields: LogFields) => void
-  /** Told of every attempt that is over. */
+  /** Called with the result of every attempt. */
   observe: (result: TaskResult) => void
-  /** Decides which entry hears of scarce room, in place of the product's rule; for measurements. */
+  /** Chooses the entry that scarce free capacity is offered to; replaces the default rule in measurements. */
   offer?: Offer
 }
 
-/** The endpoint beside the agent. */
+/** An incarnation of the endpoint beside the agent, as it was announced. */
 export interface AnnouncedIncarnation {
   service: string
   incarnation: string
--- a/packages/coordination/src/leased/offerRotation.ts
+++ b/packages/coordination/src/leased/offerRotation.ts
@@ -1,10 +1,10 @@
 import { isScarce, OFFER_MS } from '@hazellift/decisions'
 import type { Offer, Resources, Turn, WantingEntry } from '@hazellift/decisions'
 
-/** Remembers whose turn it is to be told of scarce room, and who was served when. */
+/** Rotates offers of scarce free capacity among entries: tracks the entry in turn and when each was last served. */
 export class OfferRotation {
   private turn: Turn = { holder: undefined, offeredAt: -Infinity }
-  private readonly servedAt = new Map<string, number>()
+  private readonly lastServes = new Map<string, number>()
   private serveCount = 0
 
   /**
@@ -14,39 +14,39 @@
   constructor (private readonly now: () => number, private readonly offer: Offer) {}
 
   /**
-   * True if the entry may be told of the free room.
+   * True if the free capacity is offered to the entry.
    *
-   * @param incarnation - the entry
-   * @param free - free room
-   * @param capacity - the whole
-   * @param wanting - entries with tasks that wait
+   * @param incarnation - the entry's incarnation
+   * @param free - free capacity of the endpoint
+   * @param capacity - its whole capacity
+   * @param demands - entries with tasks that wait
    */
-  isOffered (incarnation: string, free: Resources, capacity: Resources, wanting: WantingEntry[]): boolean {
-    if (!isScarce(free, capacity) || wanting.length === 0) return true
-    return this.entryInTurn(wanting) === incarnation
+  isOffered (incarnation: string, free: Resources, capacity: Resources, demands: WantingEntry[]): boolean {
+    if (!isScarce(free, capacity) || demands.length === 0) return true
+    return this.entryInTurn(demands) === incarnation
   }
 
-  /** The entry that the free room is offered to. */
-  entryInTurn (wanting: WantingEntry[]): string | undefined {
+  /** Incarnation of the entry that scarce free capacity is offered to now; undefined if none has tasks that wait. */
+  entryInTurn (demands: WantingEntry[]): string | undefined {
     const now = this.now()
-    const holder = this.offer(wanting, this.turn, now)
+    const holder = this.offer(demands, this.turn, now)
     const keepsTurn = holder !== undefined && holder === this.turn.holder && now - this.turn.offeredAt < OFFER_MS
     if (!keepsTurn) this.turn = { holder, offeredAt: now }
     return holder
   }
 
-  /** How often entries had been served here when this one was served last; 0 for never. */
+  /** Rank of the entry's last serve among all serves here, higher is later; 0 if it was never served. */
   lastServeOf (incarnation: string): number {
-    return this.servedAt.get(incarnation) ?? 0
+    return this.lastServes.get(incarnation) ?? 0
   }
 
-  /** The entry has sent starts, or has been passed over: it goes last among its equals. */
+  /** The entry has sent starts or has let its offer pass: entries of the same priority are served before it. */
   onServed (incarnation: string): void {
-    this.servedAt.set(incarnation, ++this.serveCount)
+    this.lastServes.set(incarnation, ++this.serveCount)
     if (this.turn.holder === incarnation) this.turn = { ...this.turn, holder: undefined }
   }
 
   forget (incarnation: string): void {
-    this.servedAt.delete(incarnation)
+    this.lastServes.delete(incarnation)
   }
 }
--- a/packages/coordination/src/leased/responseTimes.ts
+++ b/packages/coordination/src/leased/responseTimes.ts
@@ -1,25 +1,28 @@
-/** Weights of the newest answer in the mean and in the deviation, as TCP's retransmission timeout has them (RFC 6298). */
+/** Weights of the newest response time in the mean and in the deviation, as in TCP's retransmission timer (RFC 6298). */
 const MEAN_WEIGHT = 1 / 8
 const DEVIATION_WEIGHT = 1 / 4
-/** So many deviations above the mean are allowed for, from the same source. */
+/** The limit lies this many deviations above the mean, also as in RFC 6298. */
 const DEVIATION_FACTOR = 4
-/** A collection of garbage on either side takes a few milliseconds; waiting less would only repeat calls in vain. */
+/** Lower bound of the limit: garbage collection on either side takes a few milliseconds, and a shorter limit would repeat calls in vain. */
 const MIN_LIMIT_MS = 10
-/** What is left unanswered for so long was lost, however slow the machine: holds last for half a second, and two in a row may get lost. */
+/**
+ * Upper bound of the limit. The run lease lasts for half a second and must survive
+ * two lost polls in a row, so a call counts as lost after this time on a slow machine, too.
+ */
 export const MAX_LIMIT_MS = 100
-/** Before the first answer; each call that is lost before it doubles this. */
+/** The limit before the first answer; each call lost before then doubles it. */
 const FIRST_LIMIT_MS = 30
 
-/** How long an answer of an endpoint may take before the call counts as lost, learned from those that came. */
+/** Adaptive time limit for an endpoint's answers, learned from its response times: a call without an answer by then counts as lost. */
 export class ResponseTimes {
   private meanMs: number | undefined
   private deviationMs = 0
   private firstLimitMs = FIRST_LIMIT_MS
 
   /**
-   * An answer has come, in time or late.
+   * An answer has arrived, within the limit or later.
    *
-   * @param ms - from the call to its answer, less what the answer was asked to wait
+   * @param ms - time from the call to its answer, less the time that the endpoint was asked to wait
    */
   observe (ms: number): void {
     if (this.meanMs === undefined) {
@@ -31,12 +34,12 @@
     this.meanMs += (ms - this.meanMs) * MEAN_WEIGHT
   }
 
-  /** A call had no answer within the limit. What is known of the endpoint's answers stays: calls may get lost at a quick one. */
+  /** A call had no answer within the limit. The learned response times stay as they are, as calls to a fast endpoint can get lost, too. */
   onLost (): void {
     this.firstLimitMs = Math.min(MAX_LIMIT_MS, 2 * this.firstLimitMs)
   }
 
-  /** How long to wait for an answer, in ms. */
+  /** How long to wait for the next answer, in ms. */
   get limitMs (): number {
     if (this.meanMs === undefined) return this.firstLimitMs
     return Math.min(MAX_LIMIT_MS, Math.max(MIN_LIMIT_MS, this.meanMs + DEVIATION_FACTOR * this.deviationMs))
--- a/packages/coordination/src/leased/speedRecord.ts
+++ b/packages/coordination/src/leased/speedRecord.ts
@@ -1,19 +1,21 @@
 import type { Clock } from '@hazellift/common'
 
-/** A run in progress, as its agent sees it. */
+/** A run in progress at an agent. */
 export interface RunInProgress {
+  /** When its start was ordered, on the agent's clock. */
   startedAt: number
+  /** Expected run time; 0 if unknown. */
   expectedMs: number
 }
 
-/** Weight of the newest run: after five slow ones in a row the figure is near theirs. */
+/** Weight of the newest run: after five slow runs in a row, the slowness is close to theirs. */
 const WEIGHT = 0.35
-/** Without new runs the figure returns to 1 by half in this time, so that a slow endpoint is tried again. */
+/** Without new runs, half of the deviation from 1 decays in this time, so that a slow endpoint is tried again. */
 const HALF_LIFE_MS = 2000
-/** A run is overdue after this many times its expected time; before, its length says little. */
+/** A run is overdue after this many times its expected time; a shorter excess says little about the endpoint. */
 const OVERDUE_FACTOR = 2
 
-/** How slow the endpoint is against expected run times, by runs that ended and by those that should have. */
+/** Estimates the endpoint's slowness, the ratio of actual to expected run times, from finished and overdue runs. */
 export class SpeedRecord {
   private slowness = 1
   private updatedAt: number
@@ -22,20 +24,24 @@
     this.updatedAt = clock.now()
   }
 
-  /** A run was done. */
+  /** Takes in a run that has succeeded; ignored if its expected time is unknown. */
   observe (runMs: number, expectedMs: number): void {
     if (expectedMs <= 0) return
     this.slowness = this.current + (runMs / expectedMs - this.current) * WEIGHT
     this.updatedAt = this.clock.now()
   }
 
-  /** The figure now; 1 is as expected. */
+  /**
+   * The current slowness; 1 is as expected.
+   *
+   * @param running - runs in progress
+   */
   read (running: RunInProgress[]): number {
     const now = this.clock.now()
     const overdue = running
       .map(({ startedAt, expectedMs }) => expectedMs > 0 ? (now - startedAt) / expectedMs : 0)
       .filter((ratio) => ratio > OVERDUE_FACTOR)
-    // One overdue run may be its own fault.
+    // A single overdue run may be caused by its own task.
     if (overdue.length < 2) return this.current
     return Math.max(this.current, Math.min(...overdue))
   }
--- a/packages/coordination/src/leased/waitingStarts.ts
+++ b/packages/coordination/src/leased/waitingStarts.ts
@@ -2,19 +2,22 @@
 import type { Resources } from '@hazellift/decisions'
 import type { TaskKey } from '@hazellift/protocol'
 
-/** A start that waits at its agent for room. */
+/** A start that waits at its agent for free capacity. */
 export interface WaitingStart {
   /** Incarnation of the entry that sent it. */
   owner: string
   key: TaskKey
   payload: string
   need: Resources
-  /** It is refused if no room came free by then. */
+  /** The start is refused if it does not fit by then; on the agent's clock. */
   expiresAt: number
   expectedMs: number
 }
 
-/** Starts in the order of their arrival: one that does not fit holds up those behind it, or wide ones would never begin. */
+/**
+ * Queue of waiting starts in the order of their arrival. A start that does not fit blocks
+ * those behind it; otherwise smaller ones would keep large ones waiting forever.
+ */
 export class WaitingStarts {
   private starts: WaitingStart[] = []
 
@@ -35,24 +38,24 @@
     return this.starts.some(({ key }) => key.submission === submission && key.task === task)
   }
 
-  /** Takes the first one, if it fits. */
-  takeFirst (room: Resources): WaitingStart | undefined {
+  /** Removes and returns the first start if it fits the free capacity; undefined otherwise. */
+  takeFirst (freeCapacity: Resources): WaitingStart | undefined {
     const first = this.starts[0]
-    return first !== undefined && fits(first.need, room) ? this.starts.shift() : undefined
+    return first !== undefined && fits(first.need, freeCapacity) ? this.starts.shift() : undefined
   }
 
-  /** Takes out those that are meant. */
-  removeMatching (isMeant: (start: WaitingStart) => boolean): WaitingStart[] {
-    const taken = this.starts.filter(isMeant)
-    if (taken.length > 0) this.starts = this.starts.filter((start) => !isMeant(start))
-    return taken
+  /** Removes and returns all matching starts. */
+  removeMatching (matches: (start: WaitingStart) => boolean): WaitingStart[] {
+    const removed = this.starts.filter(matches)
+    if (removed.length > 0) this.starts = this.starts.filter((start) => !matches(start))
+    return removed
   }
 
-  /** What is left of the room once all of them have begun. */
+  /** The capacity that remains free once all waiting starts have begun; never negative. */
   capacityAfter ({ cpuMilli, memoryMb }: Resources): Resources {
-    return this.starts.reduce((room, { need }) => ({
-      cpuMilli: Math.max(0, room.cpuMilli - need.cpuMilli),
-      memoryMb: Math.max(0, room.memoryMb - need.memoryMb)
+    return this.starts.reduce((remaining, { need }) => ({
+      cpuMilli: Math.max(0, remaining.cpuMilli - need.cpuMilli),
+      memoryMb: Math.max(0, remaining.memoryMb - need.memoryMb)
     }), { cpuMilli, memoryMb })
   }
 }
