--- a/packages/coordination/src/leased/capacityOffers.ts
+++ b/packages/coordination/src/leased/capacityOffers.ts
@@ -1,7 +1,7 @@
 import { create } from '@bufbuild/protobuf'
 import type { Clock } from '@hazellift/common'
-import { isScarce, offer, OFFER_MS } from '@hazellift/decisions'
-import type { Offer, Resources, WantingEntry } from '@hazellift/decisions'
+import { isScarce, offerCapacity, CAPACITY_OFFER_MS } from '@hazellift/decisions'
+import type { OfferCapacity, Resources, EntryDemand } from '@hazellift/decisions'
 import { RoomSchema } from '@hazellift/protocol'
 import type { AgentFrame } from '@hazellift/protocol'
 import type { LeasedSession } from './hostSessions.js'
@@ -17,7 +17,7 @@
   /** The endpoint's whole capacity. */
   capacity: () => Resources
   /** Chooses the entry that scarce free capacity is offered to; replaces the default rule in measurements. */
-  offer?: Offer
+  offer?: OfferCapacity
 }
 
 /** Offers an endpoint's free capacity to entries: to all of them while it is plentiful, to one at a time while it is scarce. */
@@ -25,7 +25,7 @@
   private readonly rotation: OfferRotation
 
   constructor (private readonly options: CapacityOffersOptions) {
-    this.rotation = new OfferRotation(options.clock.now, options.offer ?? offer)
+    this.rotation = new OfferRotation(options.clock.now, options.offer ?? offerCapacity)
   }
 
   /** Adds the free capacity offered to the entry to a frame, unless it was reported already. */
@@ -66,8 +66,8 @@
   }
 
   /** Entries with tasks that wait for capacity. */
-  private get demands (): WantingEntry[] {
-    const demands: WantingEntry[] = []
+  private get demands (): EntryDemand[] {
+    const demands: EntryDemand[] = []
     for (const [incarnation, { demandPriority }] of this.options.sessions) {
       if (demandPriority === undefined) continue
       demands.push({ incarnation, priority: demandPriority, servedAt: this.rotation.lastServeOf(incarnation) })
@@ -90,7 +90,7 @@
   private offerTo (entry: string, remainingOffers: number): void {
     const { sessions, clock } = this.options
     sessions.get(entry)?.add(() => {})
-    if (remainingOffers > 0) clock.after(OFFER_MS, () => this.offerNext(entry, remainingOffers))
+    if (remainingOffers > 0) clock.after(CAPACITY_OFFER_MS, () => this.offerNext(entry, remainingOffers))
   }
 
   private offerNext (entry: string, remainingOffers: number): void {
--- a/packages/coordination/src/leased/configExchange.test.ts
+++ b/packages/coordination/src/leased/configExchange.test.ts
@@ -37,7 +37,7 @@
 
   constructor (agents: number) {
     const { clock } = this
-    const fleet = new LeasedFleet({ clock, random: seededRandom(1), zone: 'z', setAsideShare: 0.4, setAsideBackoff: () => 1000 })
+    const fleet = new LeasedFleet({ clock, random: seededRandom(1), zone: 'z', maxEjectedShare: 0.4, ejectionBackoff: () => 1000 })
     this.sessions = new LeasedSessions({
       clock,
       times: TIMES,
@@ -166,7 +166,7 @@
   ]
   it.each(waits)('$name', ({ own, isDoubted = false, beforeMs, asks }) => {
     const entry = new OneEntry(4)
-    entry.sessions.setConfigDoubt(isDoubted)
+    entry.sessions.setConfigUnconfirmed(isDoubted)
     if (own > 0n) entry.sessions.setConfig(own, documentOf(own))
     entry.held.fill(2n)
     entry.run(beforeMs)
--- a/packages/coordination/src/leased/endpointSupervisor.test.ts
+++ b/packages/coordination/src/leased/endpointSupervisor.test.ts
@@ -45,7 +45,7 @@
   const injectFaults = (call: Call, faults: CallFault[]): void => {
     endpoint.fault = (name) => name === call ? faults.shift() ?? 'none' : 'none'
   }
-  const runsOf = (submission: string) => [...endpoint.past, ...endpoint.open].filter((run) => run.submission === submission)
+  const runsOf = (submission: string) => [...endpoint.endedRuns, ...endpoint.openRuns].filter((run) => run.submission === submission)
   /** Forbids starts from now on. */
   const forbidStarts = (): void => { mayStart = false }
   return { clock, endpoint, advance, start, injectFaults, runsOf, forbidStarts }
@@ -65,7 +65,7 @@
     const task = start('a')
     await advance(4000)
     expect(runsOf('a')).toHaveLength(1)
-    expect(runsOf('a')[0]!.from).toBeLessThanOrEqual(20)
+    expect(runsOf('a')[0]!.startedAt).toBeLessThanOrEqual(20)
     expect(task.outcome?.type).toBe('ended')
   })
 
@@ -141,11 +141,11 @@
     const task = start('a')
     await advance(100)
     endpoint.fault = () => 'lost'
-    const before = endpoint.calls.hold
+    const before = endpoint.calls.poll
     await advance(16_000)
     expect(task.outcome).toEqual({ type: 'lost', at: expect.any(Number) })
     expect(task.outcome!.at).toBeLessThanOrEqual(100 + 1100)
-    expect(endpoint.calls.hold - before).toBeLessThan(60)
+    expect(endpoint.calls.poll - before).toBeLessThan(60)
   })
 
   it('stops of unanswered starts are sent only once an unresponsive endpoint answers again', async () => {
--- a/packages/coordination/src/leased/hostEvacuations.ts
+++ b/packages/coordination/src/leased/hostEvacuations.ts
@@ -28,7 +28,7 @@
   onFrame ({ evacuations }: EntryFrame): void {
     if (evacuations === undefined) return
     const before = this.isEvacuated
-    this.list.offer(evacuations)
+    this.list.update(evacuations)
     if (this.isEvacuated !== before) this.options.onChange()
   }
 
--- a/packages/coordination/src/leased/leasedHostOptions.ts
+++ b/packages/coordination/src/leased/leasedHostOptions.ts
@@ -1,5 +1,5 @@
 import type { Clock, SuspensionWatch } from '@hazellift/common'
-import type { Offer, Resources } from '@hazellift/decisions'
+import type { OfferCapacity, Resources } from '@hazellift/decisions'
 import type { TaskResult } from '@hazellift/protocol'
 import type { LeaseTimes } from './times.js'
 import type { LeasedEndpoint } from './types.js'
@@ -20,7 +20,7 @@
   /** Called with the result of every attempt. */
   observe: (result: TaskResult) => void
   /** Chooses the entry that scarce free capacity is offered to; replaces the default rule in measurements. */
-  offer?: Offer
+  offer?: OfferCapacity
 }
 
 /** An incarnation of the endpoint beside the agent, as it was announced. */
--- a/packages/coordination/src/leased/offerRotation.ts
+++ b/packages/coordination/src/leased/offerRotation.ts
@@ -1,9 +1,9 @@
-import { isScarce, OFFER_MS } from '@hazellift/decisions'
-import type { Offer, Resources, Turn, WantingEntry } from '@hazellift/decisions'
+import { isScarce, CAPACITY_OFFER_MS } from '@hazellift/decisions'
+import type { OfferCapacity, Resources, CurrentOffer, EntryDemand } from '@hazellift/decisions'
 
 /** Rotates offers of scarce free capacity among entries: tracks the entry in turn and when each was last served. */
 export class OfferRotation {
-  private turn: Turn = { holder: undefined, offeredAt: -Infinity }
+  private turn: CurrentOffer = { holder: undefined, offeredAt: -Infinity }
   private readonly lastServes = new Map<string, number>()
   private serveCount = 0
 
@@ -11,7 +11,7 @@
    * @param now - the agent's clock
    * @param offer - chooses among entries with tasks that wait
    */
-  constructor (private readonly now: () => number, private readonly offer: Offer) {}
+  constructor (private readonly now: () => number, private readonly offer: OfferCapacity) {}
 
   /**
    * True if the free capacity is offered to the entry.
@@ -21,16 +21,16 @@
    * @param capacity - its whole capacity
    * @param demands - entries with tasks that wait
    */
-  isOffered (incarnation: string, free: Resources, capacity: Resources, demands: WantingEntry[]): boolean {
+  isOffered (incarnation: string, free: Resources, capacity: Resources, demands: EntryDemand[]): boolean {
     if (!isScarce(free, capacity) || demands.length === 0) return true
     return this.entryInTurn(demands) === incarnation
   }
 
   /** Incarnation of the entry that scarce free capacity is offered to now; undefined if none has tasks that wait. */
-  entryInTurn (demands: WantingEntry[]): string | undefined {
+  entryInTurn (demands: EntryDemand[]): string | undefined {
     const now = this.now()
     const holder = this.offer(demands, this.turn, now)
-    const keepsTurn = holder !== undefined && holder === this.turn.holder && now - this.turn.offeredAt < OFFER_MS
+    const keepsTurn = holder !== undefined && holder === this.turn.holder && now - this.turn.offeredAt < CAPACITY_OFFER_MS
     if (!keepsTurn) this.turn = { holder, offeredAt: now }
     return holder
   }
--- a/packages/coordination/tests/leased/doubt.test.ts
+++ b/packages/coordination/tests/leased/unverifiedLeases.test.ts
@@ -10,7 +10,7 @@
 import { createFakeClock } from '../fakeClock.js'
 import { ProcessClock } from '../processClock.js'
 import { CAPACITY } from './fakeEndpoint.js'
-import { TIMES } from './leasedNetwork.js'
+import { LEASE_TIMES } from './leasedNetwork.js'
 
 const settle = async (): Promise<void> => { for (let i = 0; i < 4; i++) await new Promise((resolve) => setImmediate(resolve)) }
 
@@ -29,7 +29,7 @@
   private readonly host = new LeasedHost({
     clock: this.process,
     zone: 'z',
-    times: TIMES,
+    times: LEASE_TIMES,
     pollWaitMs: 100,
     log: () => {},
     observe: ({ key, reason, outcome }) => this.told.push(`${key!.submission} ${reason || outcome}`)
@@ -138,7 +138,7 @@
     expect(await next()).toMatchObject({ runLeaseMs: undefined, waitMs: 25 })
     fixture.pass(1)
     await fixture.frame('e')
-    expect(await next()).toMatchObject({ runLeaseMs: TIMES.runLeaseMs, waitMs: 100 })
+    expect(await next()).toMatchObject({ runLeaseMs: LEASE_TIMES.runLeaseMs, waitMs: 100 })
   })
 })
 
@@ -154,11 +154,11 @@
 
   constructor () {
     this.process = new ProcessClock(this.world)
-    const fleet = new LeasedFleet({ clock: this.process, random: seededRandom(1), zone: 'z', setAsideShare: 0.4, setAsideBackoff: () => 1000 })
+    const fleet = new LeasedFleet({ clock: this.process, random: seededRandom(1), zone: 'z', maxEjectedShare: 0.4, ejectionBackoff: () => 1000 })
     this.sessions = new LeasedSessions({
       clock: this.process,
       watch: new SuspensionWatch(this.process),
-      times: TIMES,
+      times: LEASE_TIMES,
       fleet,
       events: { agentChanged: () => {}, agentLost: () => {}, configSeen: () => {}, evacuationsChanged: () => {} },
       onResult: () => {},
@@ -169,7 +169,7 @@
     this.world.advance(1000)
     this.agent = this.sessions.open(create(HelloSchema, { agentId: 'a', incarnation: 'i', zone: 'z' }), this.link)
     this.hear()
-    this.agent.sent.set('task', { job: undefined as never, index: 0, attempt: 0, sentAt: 1000, life: '' })
+    this.agent.sent.set('task', { job: undefined as never, index: 0, attempt: 0, sentAt: 1000, endpointIncarnation: '' })
   }
 
   hear (): void {
--- a/packages/lab/src/labWorld.ts
+++ b/packages/lab/src/labWorld.ts
@@ -3,7 +3,7 @@
 import { LeasedDispatcher, LeasedHost, LeasedJobs } from '@hazellift/coordination'
 import type { LeasedDispatchEvents, LeaseTimes, RunEnd, RunRef } from '@hazellift/coordination'
 import { fits } from '@hazellift/decisions'
-import type { EntryPlace, Policy, Resources } from '@hazellift/decisions'
+import type { EntryLocation, Policy, Resources } from '@hazellift/decisions'
 import { REASONS } from '@hazellift/protocol'
 import { EntryDialer } from '@hazellift/sessions'
 import { createLabCaller } from './createLabCaller.js'
@@ -150,7 +150,7 @@
   }
 
   /** The rows of entries stay in the store while their processes are away. */
-  private get places (): EntryPlace[] {
+  private get places (): EntryLocation[] {
     return this.entries.map(({ zone }, index) => ({ address: String(index), zone }))
   }
 
@@ -181,8 +181,8 @@
       zone: this.zoneOf(index),
       times: LEASE_TIMES,
       events: { ...EVENTS, sent: (_job, _agent, tasks) => { this.counts.starts += tasks.length } },
-      setAsideShare: SET_ASIDE_SHARE,
-      setAsideBackoff: (times) => Math.min(SET_ASIDE_MS.most, SET_ASIDE_MS.base * 2 ** (times - 1)),
+      maxEjectedShare: SET_ASIDE_SHARE,
+      ejectionBackoff: (times) => Math.min(SET_ASIDE_MS.most, SET_ASIDE_MS.base * 2 ** (times - 1)),
       defer: (fn) => { process.clock.after(0, fn) },
       policy: this.policy
     })
