--- a/packages/coordination/src/leased/endpointLife.test.ts
+++ b/packages/coordination/src/leased/endpointLife.test.ts
@@ -45,7 +45,7 @@
   const meet = (call: Call, faults: CallFault[]): void => {
     endpoint.fault = (name) => name === call ? faults.shift() ?? 'none' : 'none'
   }
-  const runsOf = (submission: string) => [...endpoint.past, ...endpoint.open].filter((run) => run.submission === submission)
+  const runsOf = (submission: string) => [...endpoint.endedRuns, ...endpoint.openRuns].filter((run) => run.submission === submission)
   /** Nothing may be started from now on. */
   const forbidStarts = (): void => { mayStart = false }
   return { clock, endpoint, advance, start, meet, runsOf, forbidStarts }
@@ -65,7 +65,7 @@
     const task = start('a')
     await advance(4000)
     expect(runsOf('a')).toHaveLength(1)
-    expect(runsOf('a')[0]!.from).toBeLessThanOrEqual(20)
+    expect(runsOf('a')[0]!.startedAt).toBeLessThanOrEqual(20)
     expect(task.told?.type).toBe('ended')
   })
 
--- a/packages/coordination/tests/handoff/handOn.test.ts
+++ b/packages/coordination/tests/handoff/handOn.test.ts
@@ -1,7 +1,7 @@
 import { seededRandom } from '@hazellift/common'
 import { REASONS } from '@hazellift/protocol'
 import { describe, expect, it } from 'vitest'
-import { overlaps } from '../leased/fakeEndpoint.js'
+import { overlappingRuns } from '../leased/fakeEndpoint.js'
 import { HandOnNetwork } from './handOnNetwork.js'
 
 const RESEND_MS = 1300
@@ -19,7 +19,7 @@
 
 const submit = (network: HandOnNetwork, entry: number, id: string, count = 2) => network.leased.submit(entry, id, count, { objective: OBJECTIVE })
 
-const runsOf = ({ leased: { endpoints } }: HandOnNetwork): number => endpoints.reduce((sum, { past, open }) => sum + past.length + open.length, 0)
+const runsOf = ({ leased: { endpoints } }: HandOnNetwork): number => endpoints.reduce((sum, { endedRuns: past, openRuns: open }) => sum + past.length + open.length, 0)
 
 /** How old the stamp is that was echoed last, at the agent where it is oldest. */
 const oldestEcho = ({ leased: { clock, entries } }: HandOnNetwork, entry: number): number =>
@@ -48,7 +48,7 @@
     for (let job = 0; job < 4; job++) submit(network, 0, `j${job}`, 1)
     await network.advance(400)
     expect(network.counts).toMatchObject({ handedOn: 4, hosted: 4, refused: 0, returned: [] })
-    expect([...network.leased.ends.values()].map(({ type }) => type)).toEqual(Array.from({ length: 4 }, () => 'complete'))
+    expect([...network.leased.jobEnds.values()].map(({ type }) => type)).toEqual(Array.from({ length: 4 }, () => 'complete'))
     expect(runsOf(network)).toBe(4)
     expect(network.entries[1]!.host.size).toBe(0)
     expect(network.entries[0]!.router.outstanding).toBe(0)
@@ -68,7 +68,7 @@
     for (let job = 0; job < 3; job++) submit(network, 0, `j${job}`, 1)
     await network.advance(600)
     expect(network.counts.handedOn).toBe(handedOn)
-    expect([...network.leased.ends.values()].map(({ type }) => type)).toEqual(['complete', 'complete', 'complete'])
+    expect([...network.leased.jobEnds.values()].map(({ type }) => type)).toEqual(['complete', 'complete', 'complete'])
     expect(runsOf(network)).toBe(3)
   })
 
@@ -90,7 +90,7 @@
     submit(network, 0, 'j', 1)
     await network.advance(1500)
     expect(network.counts.returned).toEqual(['refused placed'])
-    expect(network.leased.ends.get('j')).toEqual({ type: 'complete' })
+    expect(network.leased.jobEnds.get('j')).toEqual({ type: 'complete' })
   })
 
   /** What happens while a job runs that was handed on. */
@@ -132,8 +132,8 @@
     await act(network)
     await network.advance(4000)
     expect(network.counts.returned).toEqual(returned)
-    expect(network.leased.ends.get('j')).toEqual({ type: 'complete' })
-    expect(overlaps(network.leased.endpoints)).toEqual([])
+    expect(network.leased.jobEnds.get('j')).toEqual({ type: 'complete' })
+    expect(overlappingRuns(network.leased.endpoints)).toEqual([])
   })
 
   it('the neighbour is lost, and the answer would come too late: the caller hears that it may send again, and nothing runs', async () => {
@@ -143,8 +143,8 @@
     await network.advance(60)
     network.kill(1)
     await network.advance(1300)
-    expect(network.leased.ends.get('j')).toMatchObject({ type: 'failed', reason: REASONS.handOnLost })
-    expect(network.leased.endpoints.flatMap(({ open }) => open)).toEqual([])
+    expect(network.leased.jobEnds.get('j')).toMatchObject({ type: 'failed', reason: REASONS.handOnLost })
+    expect(network.leased.endpoints.flatMap(({ openRuns: open }) => open)).toEqual([])
   })
 
   /** The caller's entry is lost; its caller sends the job again, to the neighbour or to a third entry. */
@@ -175,8 +175,8 @@
     await network.advance(WAKE_MS)
     submit(network, to, 'j', 3)
     await network.advance(6000)
-    expect(network.leased.ends.get('j')).toEqual({ type: 'complete' })
-    expect(overlaps(network.leased.endpoints)).toEqual([])
+    expect(network.leased.jobEnds.get('j')).toEqual({ type: 'complete' })
+    expect(overlappingRuns(network.leased.endpoints)).toEqual([])
   })
 
   it('agents are echoed no stamp made after the caller\'s entry died', async () => {
@@ -235,9 +235,9 @@
     }
     healAll()
     await network.advance(12_000)
-    expect(overlaps(network.leased.endpoints)).toEqual([])
+    expect(overlappingRuns(network.leased.endpoints)).toEqual([])
     expect(network.counts.hosted).toBeGreaterThan(3)
-    for (const id of alive.keys()) expect(network.leased.ends.has(id)).toBe(true)
+    for (const id of alive.keys()) expect(network.leased.jobEnds.has(id)).toBe(true)
     expect(network.entries[0]!.router.outstanding).toBe(0)
   })
 
@@ -250,8 +250,8 @@
     await network.advance(50)
     network.cutStream({ toHost: false })
     await network.advance(1500)
-    expect(network.leased.ends.get('j')).toEqual({ type: 'complete' })
-    expect(overlaps(network.leased.endpoints)).toEqual([])
+    expect(network.leased.jobEnds.get('j')).toEqual({ type: 'complete' })
+    expect(overlappingRuns(network.leased.endpoints)).toEqual([])
   })
 
   it('the neighbour\'s own jobs go on when the caller\'s entry falls silent', async () => {
@@ -263,8 +263,8 @@
     await network.advance(60)
     network.kill(0)
     await network.advance(2000)
-    expect(network.leased.ends.get('own')).toEqual({ type: 'complete' })
-    expect(network.leased.startsEnded.get(REASONS.leaseExpired)).toBeUndefined()
+    expect(network.leased.jobEnds.get('own')).toEqual({ type: 'complete' })
+    expect(network.leased.endedStartCounts.get(REASONS.leaseExpired)).toBeUndefined()
     expect(oldestEcho(network, 1)).toBeLessThan(400)
   })
 
@@ -274,6 +274,6 @@
     await network.advance(160)
     submit(network, 1, 'own', 1)
     await network.advance(300)
-    expect(network.leased.ends.get('own')).toEqual({ type: 'complete' })
+    expect(network.leased.jobEnds.get('own')).toEqual({ type: 'complete' })
   })
 })
--- a/packages/coordination/tests/handoff/handOnNetwork.ts
+++ b/packages/coordination/tests/handoff/handOnNetwork.ts
@@ -3,7 +3,7 @@
 import { CallerFrameSchema, HandOnHelloSchema, HostFrameSchema } from '@hazellift/protocol'
 import { HandedOnJobs, HostedJobs, LeasedJobs, longestWait } from '../../src/index.js'
 import type { HandOnLink } from '../../src/index.js'
-import { LeasedNetwork, TIMES } from '../leased/leasedNetwork.js'
+import { LeasedNetwork, LEASE_TIMES } from '../leased/leasedNetwork.js'
 
 const STEP_MS = 5
 const SWEEP_MS = 25
@@ -41,7 +41,7 @@
   private mayDial = true
 
   constructor (private readonly entryCount: number, private readonly agentCount: number) {
-    this.leased = new LeasedNetwork(entryCount, agentCount, TIMES, CAPACITY)
+    this.leased = new LeasedNetwork(entryCount, agentCount, LEASE_TIMES, CAPACITY)
     for (let index = 0; index < entryCount; index++) this.entries.push(this.wire(index))
   }
 
@@ -94,7 +94,7 @@
     const router = new HandedOnJobs({
       clock,
       zone: ZONE,
-      times: TIMES,
+      times: LEASE_TIMES,
       dispatcher,
       own,
       limits: () => this.limits,
--- a/packages/coordination/tests/leased/authorities.test.ts
+++ b/packages/coordination/tests/leased/entryLeases.test.ts
@@ -71,8 +71,8 @@
     { name: 'nothing happened', act: () => {}, state: STATES.has },
     { name: 'a suspension', act: (fixture) => fixture.suspend(300), state: STATES.doubtful },
     { name: 'a suspension that is certain', boot: 'true', act: (fixture) => fixture.suspend(300), state: STATES.over },
-    { name: 'a step ahead', boot: 'true', act: ({ process }) => process.stepDay(60_000), state: STATES.doubtful },
-    { name: 'a step back', act: ({ process }) => process.stepDay(-60_000), state: STATES.has },
+    { name: 'a step ahead', boot: 'true', act: ({ process }) => process.stepWallClock(60_000), state: STATES.doubtful },
+    { name: 'a step back', act: ({ process }) => process.stepWallClock(-60_000), state: STATES.has },
     {
       name: 'a suspension without a session',
       act: (fixture) => {
@@ -177,7 +177,7 @@
       name: 'steps ahead and back, again and again, each echoed',
       act: (fixture) => {
         for (const ms of [5000, -5000, 5000, -5000]) {
-          fixture.process.stepDay(ms)
+          fixture.process.stepWallClock(ms)
           expect(fixture.state).toBe(ms > 0 ? STATES.doubtful : STATES.has)
           fixture.pass(10)
           fixture.echo()
--- a/packages/coordination/tests/leased/doubt.test.ts
+++ b/packages/coordination/tests/leased/unverifiedLeases.test.ts
@@ -10,7 +10,7 @@
 import { createFakeClock } from '../fakeClock.js'
 import { ProcessClock } from '../processClock.js'
 import { CAPACITY } from './fakeEndpoint.js'
-import { TIMES } from './leasedNetwork.js'
+import { LEASE_TIMES } from './leasedNetwork.js'
 
 const settle = async (): Promise<void> => { for (let i = 0; i < 4; i++) await new Promise((resolve) => setImmediate(resolve)) }
 
@@ -29,7 +29,7 @@
   private readonly host = new LeasedHost({
     clock: this.process,
     zone: 'z',
-    times: TIMES,
+    times: LEASE_TIMES,
     holdWaitMs: 100,
     log: () => {},
     observe: ({ key, reason, outcome }) => this.told.push(`${key!.submission} ${reason || outcome}`)
@@ -138,7 +138,7 @@
     expect(await next()).toMatchObject({ holdMs: undefined, waitMs: 25 })
     fixture.pass(1)
     await fixture.frame('e')
-    expect(await next()).toMatchObject({ holdMs: TIMES.holdMs, waitMs: 100 })
+    expect(await next()).toMatchObject({ holdMs: LEASE_TIMES.holdMs, waitMs: 100 })
   })
 })
 
@@ -158,7 +158,7 @@
     this.sessions = new LeasedSessions({
       clock: this.process,
       watch: new SuspensionWatch(this.process),
-      times: TIMES,
+      times: LEASE_TIMES,
       fleet,
       events: { agentChanged: () => {}, agentLost: () => {}, configSeen: () => {}, evacuationsChanged: () => {} },
       onResult: () => {},
