--- a/packages/coordination/tests/fakeClock.ts
+++ b/packages/coordination/tests/fakeClock.ts
@@ -1,8 +1,8 @@
 import type { Clock } from '@hazellift/common'
 
-/** A clock that a test moves. */
+/** A clock that a test advances. Its wall clock equals its steady clock. */
 export interface FakeClock extends Clock {
-  /** Moves time on and runs what is due, in order. */
+  /** Advances time, and runs the timers that fall due in order of time. */
   advance: (ms: number) => void
 }
 
@@ -11,7 +11,7 @@
   fn: () => void
 }
 
-/** A clock at 0 whose timers run only when it is advanced. */
+/** Creates a clock that stands at 0 and runs timers only in `advance`. */
 export const createFakeClock = (): FakeClock => {
   let now = 0
   const timers = new Set<Timer>()
@@ -20,7 +20,7 @@
     timers.add(timer)
     return () => { timers.delete(timer) }
   }
-  const next = (until: number): Timer | undefined =>
+  const nextDue = (until: number): Timer | undefined =>
     [...timers].filter(({ at }) => at <= until).sort((a, b) => a.at - b.at)[0]
   return {
     now: () => now,
@@ -29,7 +29,7 @@
     sleep: (ms) => new Promise((resolve) => { after(ms, resolve) }),
     advance: (ms) => {
       const until = now + ms
-      for (let timer = next(until); timer !== undefined; timer = next(until)) {
+      for (let timer = nextDue(until); timer !== undefined; timer = nextDue(until)) {
         timers.delete(timer)
         now = Math.max(now, timer.at)
         timer.fn()
--- a/packages/coordination/tests/leased/entryLeases.test.ts
+++ b/packages/coordination/tests/leased/entryLeases.test.ts
@@ -5,32 +5,34 @@
 import { ProcessClock } from '../processClock.js'
 import type { BootClock } from '../processClock.js'
 
-const AUTHORITY_MS = 600
-const DOUBT_MS = 250
+const ENTRY_LEASE_MS = 600
+const VERIFICATION_MS = 250
 const ENTRY = 'e'
 
-const STATES = { has: 'has', doubtful: 'doubtful', over: 'over' } as const
-type State = typeof STATES[keyof typeof STATES]
+const STATES = { valid: 'valid', unverified: 'unverified', expired: 'expired' } as const
+type LeaseState = typeof STATES[keyof typeof STATES]
 
-/** An agent's authorities with one entry, on clocks that can be moved apart. */
-class Fixture {
+/** An agent's lease from one entry, on a process whose clocks can be made to differ. */
+class LeaseFixture {
   isOpen = true
-  lapses = 0
-  asked = 0
+  /** How often the agent was told to stop runs without a lease. */
+  expiries = 0
+  /** How often the agent was told to request echoes. */
+  echoRequests = 0
   readonly process: ProcessClock
-  private readonly world = createFakeClock()
-  private readonly authorities: Authorities
+  private readonly referenceClock = createFakeClock()
+  private readonly leases: Authorities
 
-  constructor (boot: BootClock) {
-    this.process = new ProcessClock(this.world, boot)
-    this.authorities = new Authorities({
+  constructor (bootClock: BootClock) {
+    this.process = new ProcessClock(this.referenceClock, bootClock)
+    this.leases = new Authorities({
       clock: this.process,
       watch: new SuspensionWatch(this.process),
-      authorityMs: AUTHORITY_MS,
-      doubtMs: DOUBT_MS,
+      authorityMs: ENTRY_LEASE_MS,
+      doubtMs: VERIFICATION_MS,
       isOpen: () => this.isOpen,
-      onDoubt: () => { this.asked++ },
-      onLapse: () => { this.lapses++ }
+      onDoubt: () => { this.echoRequests++ },
+      onLapse: () => { this.expiries++ }
     })
     this.pass(1000)
     this.echo()
@@ -40,14 +42,14 @@
     return this.process.now()
   }
 
-  get state (): State {
-    this.authorities.look()
-    if (this.authorities.has(ENTRY)) return STATES.has
-    return this.authorities.isDoubtful(ENTRY) ? STATES.doubtful : STATES.over
+  get state (): LeaseState {
+    this.leases.look()
+    if (this.leases.has(ENTRY)) return STATES.valid
+    return this.leases.isDoubtful(ENTRY) ? STATES.unverified : STATES.expired
   }
 
   pass (ms: number): void {
-    this.world.advance(ms)
+    this.referenceClock.advance(ms)
   }
 
   suspend (ms: number): void {
@@ -55,164 +57,164 @@
     this.pass(ms)
   }
 
-  /** The entry echoes a stamp. */
+  /** The entry echoes a timestamp of the agent. */
   echo (stampMs = this.now): void {
-    this.authorities.renew(ENTRY, stampMs)
+    this.leases.renew(ENTRY, stampMs)
   }
 
-  session (isOpen: boolean): void {
+  changeSession (isOpen: boolean): void {
     this.isOpen = isOpen
-    this.authorities.onSession(ENTRY)
+    this.leases.onSession(ENTRY)
   }
 }
 
-describe('authority after the clocks have moved apart', () => {
-  const cases: Array<{ name: string, boot?: BootClock, act: (fixture: Fixture) => void, state: State }> = [
-    { name: 'nothing happened', act: () => {}, state: STATES.has },
-    { name: 'a suspension', act: (fixture) => fixture.suspend(300), state: STATES.doubtful },
-    { name: 'a suspension that is certain', boot: 'true', act: (fixture) => fixture.suspend(300), state: STATES.over },
-    { name: 'a step ahead', boot: 'true', act: ({ process }) => process.stepWallClock(60_000), state: STATES.doubtful },
-    { name: 'a step back', act: ({ process }) => process.stepWallClock(-60_000), state: STATES.has },
+describe('an entry lease after the agent\'s clocks have diverged', () => {
+  const cases: Array<{ name: string, bootClock?: BootClock, act: (fixture: LeaseFixture) => void, state: LeaseState }> = [
+    { name: 'no divergence', act: () => {}, state: STATES.valid },
+    { name: 'a suspension without a boot clock', act: (fixture) => fixture.suspend(300), state: STATES.unverified },
+    { name: 'a suspension that the boot clock confirms', bootClock: 'counts_suspensions', act: (fixture) => fixture.suspend(300), state: STATES.expired },
+    { name: 'a wall clock set ahead', bootClock: 'counts_suspensions', act: ({ process }) => process.stepWallClock(60_000), state: STATES.unverified },
+    { name: 'a wall clock set back', act: ({ process }) => process.stepWallClock(-60_000), state: STATES.valid },
     {
-      name: 'a suspension without a session',
+      name: 'a suspension while no session with the entry is open',
       act: (fixture) => {
         fixture.isOpen = false
         fixture.suspend(300)
       },
-      state: STATES.over
+      state: STATES.expired
     },
     {
-      name: 'a suspension, and the session ends',
+      name: 'a suspension, after which the session closes',
       act: (fixture) => {
         fixture.suspend(300)
-        fixture.session(false)
+        fixture.changeSession(false)
       },
-      state: STATES.over
+      state: STATES.expired
     },
     {
-      name: 'a suspension, and another session begins',
+      name: 'a suspension, after which another session opens',
       act: (fixture) => {
         fixture.suspend(300)
-        fixture.session(true)
+        fixture.changeSession(true)
       },
-      state: STATES.over
+      state: STATES.expired
     },
     {
-      name: 'an echo of a stamp from before',
+      name: 'a suspension, and an echo of a timestamp from before it',
       act: (fixture) => {
         fixture.pass(50)
-        const stamp = fixture.now
+        const stampMs = fixture.now
         fixture.suspend(300)
-        fixture.echo(stamp)
+        fixture.echo(stampMs)
       },
-      state: STATES.doubtful
+      state: STATES.unverified
     },
     {
-      name: 'an echo of a later stamp',
+      name: 'a suspension, and an echo of a timestamp from after it',
       act: (fixture) => {
         fixture.suspend(300)
         fixture.echo()
         fixture.pass(10)
         fixture.echo()
       },
-      state: STATES.has
+      state: STATES.valid
     },
     {
-      name: 'a later stamp, and another suspension before its echo',
+      name: 'another suspension between a timestamp and its echo',
       act: (fixture) => {
         fixture.suspend(300)
-        expect(fixture.state).toBe(STATES.doubtful)
+        expect(fixture.state).toBe(STATES.unverified)
         fixture.pass(10)
-        const stamp = fixture.now
+        const stampMs = fixture.now
         fixture.suspend(300)
-        fixture.echo(stamp)
+        fixture.echo(stampMs)
       },
-      state: STATES.doubtful
+      state: STATES.unverified
     },
     {
-      name: 'no echo for too long',
+      name: 'a suspension, and no echo within the verification time',
       act: (fixture) => {
         fixture.suspend(300)
-        expect(fixture.state).toBe(STATES.doubtful)
-        fixture.pass(DOUBT_MS + 5)
+        expect(fixture.state).toBe(STATES.unverified)
+        fixture.pass(VERIFICATION_MS + 5)
       },
-      state: STATES.over
+      state: STATES.expired
     },
     {
-      name: 'suspensions that follow one another, for too long',
+      name: 'repeated suspensions, and no echo within the verification time from the first',
       act: (fixture) => {
-        for (let times = 0; times < 5; times++) {
+        for (let count = 0; count < 5; count++) {
           fixture.suspend(30)
-          expect(fixture.state).toBe(STATES.doubtful)
+          expect(fixture.state).toBe(STATES.unverified)
           fixture.pass(49)
         }
         fixture.suspend(30)
         fixture.pass(20)
       },
-      state: STATES.over
+      state: STATES.expired
     },
     {
-      name: 'a late echo, after the doubt',
+      name: 'a suspension, and an echo after the verification time',
       act: (fixture) => {
         fixture.suspend(300)
-        expect(fixture.state).toBe(STATES.doubtful)
-        fixture.pass(DOUBT_MS + 5)
-        const { lapses } = fixture
+        expect(fixture.state).toBe(STATES.unverified)
+        fixture.pass(VERIFICATION_MS + 5)
+        const { expiries } = fixture
         fixture.echo()
-        expect(fixture.lapses).toBeGreaterThan(lapses)
+        expect(fixture.expiries).toBeGreaterThan(expiries)
       },
-      state: STATES.has
+      state: STATES.valid
     },
     {
-      name: 'authority that ends within the doubt',
+      name: 'a suspension, and the end of the lease within the verification time',
       act: (fixture) => {
-        fixture.pass(AUTHORITY_MS - 50)
+        fixture.pass(ENTRY_LEASE_MS - 50)
         fixture.suspend(300)
-        expect(fixture.state).toBe(STATES.doubtful)
+        expect(fixture.state).toBe(STATES.unverified)
         fixture.pass(60)
       },
-      state: STATES.over
+      state: STATES.expired
     },
     {
-      name: 'steps ahead and back, again and again, each echoed',
+      name: 'a wall clock set ahead and back repeatedly, with an echo after each step',
       act: (fixture) => {
         for (const ms of [5000, -5000, 5000, -5000]) {
           fixture.process.stepWallClock(ms)
-          expect(fixture.state).toBe(ms > 0 ? STATES.doubtful : STATES.has)
+          expect(fixture.state).toBe(ms > 0 ? STATES.unverified : STATES.valid)
           fixture.pass(10)
           fixture.echo()
-          expect(fixture.state).toBe(STATES.has)
+          expect(fixture.state).toBe(STATES.valid)
         }
       },
-      state: STATES.has
+      state: STATES.valid
     }
   ]
-  it.each(cases)('$name', ({ boot = 'none', act, state }) => {
-    const fixture = new Fixture(boot)
+  it.each(cases)('$name: the lease is $state', ({ bootClock = 'unavailable', act, state }) => {
+    const fixture = new LeaseFixture(bootClock)
     act(fixture)
     expect(fixture.state).toBe(state)
   })
 
-  it('a doubt asks for echoes, and whatever has ended is stopped', () => {
-    const fixture = new Fixture('none')
+  it('an unverified lease requests echoes once, and runs are stopped when the verification time ends', () => {
+    const fixture = new LeaseFixture('unavailable')
     fixture.suspend(300)
-    expect(fixture.state).toBe(STATES.doubtful)
-    expect(fixture.asked).toBe(1)
-    const { lapses } = fixture
-    fixture.pass(DOUBT_MS + 5)
-    expect(fixture.lapses).toBe(lapses + 1)
+    expect(fixture.state).toBe(STATES.unverified)
+    expect(fixture.echoRequests).toBe(1)
+    const { expiries } = fixture
+    fixture.pass(VERIFICATION_MS + 5)
+    expect(fixture.expiries).toBe(expiries + 1)
   })
 
-  it('an entry that was not known before gets no authority by a stamp from before', () => {
-    const world = createFakeClock()
-    const process = new ProcessClock(world)
-    const authorities = new Authorities({
-      clock: process, watch: new SuspensionWatch(process), authorityMs: AUTHORITY_MS, doubtMs: DOUBT_MS, isOpen: () => true, onDoubt: () => {}, onLapse: () => {}
+  it('an echo of a timestamp from before a suspension grants no lease to an entry that had none', () => {
+    const referenceClock = createFakeClock()
+    const process = new ProcessClock(referenceClock)
+    const leases = new Authorities({
+      clock: process, watch: new SuspensionWatch(process), authorityMs: ENTRY_LEASE_MS, doubtMs: VERIFICATION_MS, isOpen: () => true, onDoubt: () => {}, onLapse: () => {}
     })
-    world.advance(1000)
+    referenceClock.advance(1000)
     process.suspend(5000)
-    world.advance(5000)
-    authorities.renew('new', 900)
-    expect(authorities.has('new')).toBe(false)
+    referenceClock.advance(5000)
+    leases.renew('new', 900)
+    expect(leases.has('new')).toBe(false)
   })
 })
--- a/packages/coordination/tests/leased/ephemeralJobs.test.ts
+++ b/packages/coordination/tests/leased/ephemeralJobs.test.ts
@@ -7,35 +7,38 @@
 import type { CallFault } from './fakeEndpoint.js'
 import { LeasedNetwork, LEASE_TIMES } from './leasedNetwork.js'
 
-const RESEND_MS = 1300
+/** Time from the end of a connection until its caller submits the job again. */
+const RESUBMIT_MS = 1300
+/** Time in which all sessions open. */
 const JOIN_MS = 400
-/** How finely the tests move time on. */
+/** Step in which a test advances time. */
 const STEP_MS = 5
 
-const started = async (entries: number, agents: number, times = LEASE_TIMES): Promise<LeasedNetwork> => {
+const startNetwork = async (entries: number, agents: number, times = LEASE_TIMES): Promise<LeasedNetwork> => {
   const network = new LeasedNetwork(entries, agents, times)
   await network.advance(JOIN_MS)
   return network
 }
 
-const runsOf = (network: LeasedNetwork): number =>
-  network.endpoints.reduce((sum, { endedRuns: past, openRuns: open }) => sum + past.length + open.length, 0)
+/** Number of runs so far, ended or not. */
+const countRuns = (network: LeasedNetwork): number =>
+  network.endpoints.reduce((sum, { endedRuns, openRuns }) => sum + endedRuns.length + openRuns.length, 0)
 
-describe('jobs that are not kept', () => {
-  it('the bound after which a task is over is below the time after which callers send again', () => {
-    expect(provedOverMs(LEASE_TIMES)).toBeLessThan(RESEND_MS)
+describe('ephemeral jobs', () => {
+  it('a task is confirmed terminated before its caller submits the job again', () => {
+    expect(provedOverMs(LEASE_TIMES)).toBeLessThan(RESUBMIT_MS)
   })
 
-  it('all tasks run once and the job completes', async () => {
-    const network = await started(1, 2)
+  it('all tasks of a job run once, and the job completes', async () => {
+    const network = await startNetwork(1, 2)
     network.submit(0, 'j', 4)
     await network.advance(300)
     expect(network.jobEnds.get('j')).toEqual({ type: 'complete' })
-    expect(runsOf(network)).toBe(4)
+    expect(countRuns(network)).toBe(4)
   })
 
-  it('entries together never bring an endpoint over its capacity', async () => {
-    const network = await started(3, 2)
+  it('the starts of three entries together never exceed the capacity of an endpoint', async () => {
+    const network = await startNetwork(3, 2)
     for (let job = 0; job < 12; job++) network.submit(job % 3, `j${job}`, 3)
     await network.advance(3000)
     expect([...network.jobEnds.values()].filter(({ type }) => type === 'complete')).toHaveLength(12)
@@ -43,32 +46,32 @@
     expect(overlappingRuns(network.endpoints)).toEqual([])
   })
 
-  const sessions: Array<{ name: string, jobs: number, mostFrames: number }> = [
-    { name: 'a session without tasks carries keep-alives only', jobs: 0, mostFrames: 15 },
-    { name: 'one with long tasks also carries what renews their authority', jobs: 1, mostFrames: 25 }
+  const sessions: Array<{ name: string, jobs: number, maxFrames: number }> = [
+    { name: 'a session without tasks', jobs: 0, maxFrames: 15 },
+    { name: 'a session with a long task, whose entry lease needs echoes', jobs: 1, maxFrames: 25 }
   ]
-  it.each(sessions)('$name', async ({ jobs, mostFrames }) => {
-    const network = await started(1, 1)
+  it.each(sessions)('$name carries at most $maxFrames frames of the entry in 3 s', async ({ jobs, maxFrames }) => {
+    const network = await startNetwork(1, 1)
     network.endpoints[0]!.runMs = 2800
     for (let job = 0; job < jobs; job++) network.submit(0, `j${job}`, 1, { estimateMs: 2800 })
     const before = network.entryFrameCount
     await network.advance(3000)
-    expect(network.entryFrameCount - before).toBeLessThanOrEqual(mostFrames)
+    expect(network.entryFrameCount - before).toBeLessThanOrEqual(maxFrames)
     expect([...network.jobEnds.values()]).toEqual(Array.from({ length: jobs }, () => ({ type: 'complete' })))
-    expect(runsOf(network)).toBe(jobs)
+    expect(countRuns(network)).toBe(jobs)
   })
 
-  const crowds = [{ entries: 3, agents: 11 }, { entries: 10, agents: 20 }]
-  it.each(crowds)('of the starts of $entries entries at $agents agents, few arrive in vain', async ({ entries, agents }) => {
+  const fleets = [{ entries: 3, agents: 11 }, { entries: 10, agents: 20 }]
+  it.each(fleets)('$entries entries at $agents agents: starts that find no free capacity are below 10% of the completed ones', async ({ entries, agents }) => {
     const network = new LeasedNetwork(entries, agents, LEASE_TIMES, { cpuMilli: 16_000, memoryMb: 8000 })
     await network.advance(JOIN_MS)
     for (const endpoint of network.endpoints) endpoint.runMs = 200
     const random = seededRandom(7)
-    // Ten tasks of 200 ms fit into an endpoint at once; three quarters of that, in jobs of three.
-    const jobsEveryStep = agents * 50 * 0.75 / 3 * STEP_MS / 1000
+    // An endpoint runs ten tasks of 200 ms at once; jobs of three tasks use three quarters of that.
+    const jobsPerStep = agents * 50 * 0.75 / 3 * STEP_MS / 1000
     let jobs = 0
-    for (let passed = 0; passed < 3000; passed += STEP_MS) {
-      for (let due = jobsEveryStep; due > random(); due--) {
+    for (let passedMs = 0; passedMs < 3000; passedMs += STEP_MS) {
+      for (let due = jobsPerStep; due > random(); due--) {
         network.submit(Math.floor(random() * entries), `j${jobs++}`, 3, { estimateMs: 200, objective: { stretch: 1.6, slackMs: 60, lateFactor: 3 } })
       }
       await network.advance(STEP_MS)
@@ -80,11 +83,11 @@
 
   const faults: Array<{ name: string, act: (network: LeasedNetwork) => void | Promise<void> }> = [
     { name: 'an agent dies and restarts', act: (network) => network.killAgent(0) },
-    { name: 'an agent dies for good', act: (network) => network.killAgent(0, false) },
+    { name: 'an agent dies and does not restart', act: (network) => network.killAgent(0, false) },
     { name: 'all agents die and restart', act: (network) => { for (const index of [0, 1, 2]) network.killAgent(index) } },
-    { name: 'the link to an agent is silent', act: (network) => network.cut(0, 0, true) },
+    { name: 'the link to an agent is cut', act: (network) => network.cut(0, 0, true) },
     {
-      name: 'the link to an agent is silent for a moment',
+      name: 'the link to an agent is cut for 300 ms',
       act: async (network) => {
         network.cut(0, 0, true)
         await network.advance(300)
@@ -92,36 +95,36 @@
       }
     },
     {
-      name: 'the link to an agent is silent until just after the bound',
+      name: 'the link to an agent is cut for slightly longer than the termination bound',
       act: async (network) => {
         network.cut(0, 0, true)
         await network.advance(1300)
         network.cut(0, 0, false)
       }
     },
-    { name: 'an endpoint crashes and starts again', act: (network) => network.restartEndpoint(0) },
+    { name: 'an endpoint crashes and restarts', act: (network) => network.restartEndpoint(0) },
     {
-      name: 'an endpoint crashes and starts again, and again',
+      name: 'an endpoint crashes and restarts three times',
       act: async (network) => {
-        for (let life = 0; life < 3; life++) {
+        for (let count = 0; count < 3; count++) {
           network.restartEndpoint(0)
           await network.advance(120)
         }
       }
     },
     {
-      name: 'an agent dies while its endpoint starts again',
+      name: 'an agent dies while its endpoint restarts',
       act: async (network) => {
         network.restartEndpoint(0)
         await network.advance(5)
         network.killAgent(0)
       }
     },
-    { name: 'an endpoint leaves holds unanswered', act: (network) => { network.endpoints[0]!.fault = (call) => call === 'hold' ? 'lost' : 'none' } }
+    { name: 'an endpoint leaves polls unanswered', act: (network) => { network.endpoints[0]!.fault = (call) => call === 'hold' ? 'lost' : 'none' } }
   ]
 
-  it.each(faults)('$name: the job completes and no two runs of a task overlap', async ({ act }) => {
-    const network = await started(1, 3)
+  it.each(faults)('$name: the job completes, and no two runs of a task overlap', async ({ act }) => {
+    const network = await startNetwork(1, 3)
     for (const endpoint of network.endpoints) endpoint.runMs = 700
     network.submit(0, 'j', 6)
     await network.advance(50)
@@ -131,30 +134,30 @@
     expect(overlappingRuns(network.endpoints)).toEqual([])
   })
 
-  it.each(faults)('$name, and the caller\'s entry dies: sent again elsewhere, no two runs overlap', async ({ act }) => {
-    const network = await started(2, 3)
+  it.each(faults)('$name while the caller\'s entry dies: submitted to another entry the job completes, and no two runs of a task overlap', async ({ act }) => {
+    const network = await startNetwork(2, 3)
     for (const endpoint of network.endpoints) endpoint.runMs = 700
     network.submit(0, 'j', 6)
     await network.advance(50)
     const acting = act(network)
     network.killEntry(0)
     await acting
-    await network.advance(RESEND_MS)
+    await network.advance(RESUBMIT_MS)
     network.submit(1, 'j', 6)
     await network.advance(6000)
     expect(network.jobEnds.get('j')).toEqual({ type: 'complete' })
     expect(overlappingRuns(network.endpoints)).toEqual([])
   })
 
-  const guards = [{ name: 'authority that outlasts the bound', times: { ...LEASE_TIMES, authorityMs: 5000 } }]
-  it.each(guards)('the checks notice $name', async ({ times }) => {
-    const network = await started(2, 2, times)
+  const violations = [{ name: 'an entry lease that outlasts the termination bound', times: { ...LEASE_TIMES, authorityMs: 5000 } }]
+  it.each(violations)('overlappingRuns detects overlaps that follow from $name', async ({ times }) => {
+    const network = await startNetwork(2, 2, times)
     for (const endpoint of network.endpoints) endpoint.runMs = 3000
     network.submit(0, 'j', 2)
     await network.advance(50)
     network.killEntry(0)
     for (const agent of [0, 1]) network.cut(agent, 0, true)
-    await network.advance(RESEND_MS)
+    await network.advance(RESUBMIT_MS)
     network.submit(1, 'j', 2)
     await network.advance(2000)
     expect(overlappingRuns(network.endpoints)).not.toEqual([])
@@ -165,8 +168,8 @@
     { call: 'stop', fault: 'lost' }, { call: 'stop', fault: 'answer_lost' }, { call: 'stop', fault: 'late' },
     { call: 'hold', fault: 'answer_lost' }
   ]
-  it.each(orderFaults)('every third $call is $fault: jobs complete and no two runs overlap', async ({ call, fault }) => {
-    const network = await started(2, 3)
+  it.each(orderFaults)('every third $call has the fault $fault: jobs complete, no two runs of a task overlap, and no endpoint exceeds its capacity', async ({ call, fault }) => {
+    const network = await startNetwork(2, 3)
     let calls = 0
     for (const endpoint of network.endpoints) endpoint.fault = (name) => name === call && ++calls % 3 === 0 ? fault : 'none'
     for (let job = 0; job < 6; job++) network.submit(job % 2, `j${job}`, 3)
@@ -177,11 +180,11 @@
     for (const endpoint of network.endpoints) expect(endpoint.peakCpuMilli).toBeLessThanOrEqual(CAPACITY.cpuMilli)
   })
 
-  const silences: Array<{ name: string, call: 'start' | 'stop' | 'hold' | 'all' }> = [
-    { name: 'no hold', call: 'hold' }, { name: 'no start', call: 'start' }, { name: 'no call at all', call: 'all' }
+  const unanswered: Array<{ name: string, call: 'start' | 'stop' | 'hold' | 'all' }> = [
+    { name: 'no poll', call: 'hold' }, { name: 'no start', call: 'start' }, { name: 'no call at all', call: 'all' }
   ]
-  it.each(silences)('an endpoint that answered $name for a while is used again', async ({ call }) => {
-    const network = await started(1, 1)
+  it.each(unanswered)('an endpoint that answered $name for 4 s runs jobs again afterwards', async ({ call }) => {
+    const network = await startNetwork(1, 1)
     const endpoint = network.endpoints[0]!
     endpoint.fault = (name) => call === 'all' || name === call ? 'lost' : 'none'
     network.submit(0, 'before', 2, { deadlineMs: 2000 })
@@ -193,8 +196,8 @@
     expect(network.jobEnds.get('after')).toEqual({ type: 'complete' })
   })
 
-  it('a job whose caller left may run again once nothing of it runs', async () => {
-    const network = await started(1, 2)
+  it('a job that is submitted again after its caller left runs again once its earlier runs have ended', async () => {
+    const network = await startNetwork(1, 2)
     for (const endpoint of network.endpoints) endpoint.runMs = 400
     const first = network.submit(0, 'j', 2, { estimateMs: 400 })
     await network.advance(50)
@@ -203,22 +206,22 @@
     await network.advance(1500)
     expect(network.jobEnds.get('j')).toEqual({ type: 'complete' })
     expect(overlappingRuns(network.endpoints)).toEqual([])
-    expect(runsOf(network)).toBe(4)
+    expect(countRuns(network)).toBe(4)
   })
 
-  it('a submission that arrives again while the job runs is the same job', async () => {
-    const network = await started(1, 2)
+  it('a job that is submitted again while it runs, or soon after its end, does not run again', async () => {
+    const network = await startNetwork(1, 2)
     network.submit(0, 'j', 2)
     await network.advance(50)
     network.submit(0, 'j', 2)
     await network.advance(500)
     network.submit(0, 'j', 2)
     await network.advance(500)
-    expect(runsOf(network)).toBe(2)
+    expect(countRuns(network)).toBe(2)
   })
 
-  it('a task that fails moves, and the job fails once its attempts are used up', async () => {
-    const network = await started(1, 2)
+  it('a failed task runs again at another endpoint, and the job fails once its attempts are used up', async () => {
+    const network = await startNetwork(1, 2)
     network.endpoints[0]!.isFailing = true
     network.submit(0, 'one', 1)
     await network.advance(600)
@@ -229,8 +232,8 @@
     expect(network.jobEnds.get('two')).toMatchObject({ type: 'failed', reason: REASONS.taskFailed })
   })
 
-  it('a task that stands still is moved', async () => {
-    const network = await started(1, 2)
+  it('a task that hangs is moved to another endpoint', async () => {
+    const network = await startNetwork(1, 2)
     network.endpoints[0]!.runMs = 60_000
     network.submit(0, 'j', 1)
     await network.advance(1500)
@@ -238,17 +241,17 @@
     expect(overlappingRuns(network.endpoints)).toEqual([])
   })
 
-  it('a job that is three times as long as its caller guessed is left where it runs', async () => {
-    const network = await started(1, 3)
+  it('tasks that all run three times as long as estimated are not moved', async () => {
+    const network = await startNetwork(1, 3)
     for (const endpoint of network.endpoints) endpoint.runMs = 300
     network.submit(0, 'j', 3, { estimateMs: 100 })
     await network.advance(1500)
     expect(network.jobEnds.get('j')).toEqual({ type: 'complete' })
-    expect(runsOf(network)).toBe(3)
+    expect(countRuns(network)).toBe(3)
   })
 
-  it('tasks at an endpoint that stands still are moved sooner than one alone', async () => {
-    const network = await started(1, 2)
+  it('two tasks that hang at one endpoint are moved sooner than a single one', async () => {
+    const network = await startNetwork(1, 2)
     network.endpoints[0]!.runMs = 60_000
     network.submit(0, 'j', 2)
     await network.advance(700)
@@ -256,26 +259,26 @@
     expect(overlappingRuns(network.endpoints)).toEqual([])
   })
 
-  it('what cannot be in time is refused at once, and nothing of it starts', async () => {
-    const network = await started(1, 1)
+  it('jobs that cannot meet their objective are refused at once, and no task of theirs starts', async () => {
+    const network = await startNetwork(1, 1)
     const objective = { stretch: 1.5, slackMs: 50, lateFactor: 3 }
     for (let job = 0; job < 30; job++) network.submit(0, `j${job}`, 2, { objective })
     await network.advance(10)
     const refused = [...network.jobEnds].filter(([, { type }]) => type === 'refused').map(([id]) => id)
     expect(refused.length).toBeGreaterThan(15)
     await network.advance(3000)
-    const ran = new Set(network.endpoints.flatMap(({ endedRuns: past }) => past.map(({ submission }) => submission)))
+    const ran = new Set(network.endpoints.flatMap(({ endedRuns }) => endedRuns.map(({ submission }) => submission)))
     for (const id of refused) expect(ran.has(id)).toBe(false)
   })
 
-  const patience = [
-    { name: 'it waits while its caller has time', objectiveMs: 4000, ms: 800, end: undefined },
-    { name: 'it is refused while its caller can still go elsewhere', objectiveMs: 4000, ms: 1000, end: { type: 'refused', reason: REASONS.overload } },
-    { name: 'it waits while its answer would be of use', objectiveMs: 500, ms: 500, end: undefined },
-    { name: 'it is refused once its answer would come far too late', objectiveMs: 500, ms: 700, end: { type: 'refused', reason: REASONS.overload } }
+  const waits = [
+    { name: 'still waits after 800 ms, as its caller has time until 2 s', objectiveMs: 4000, ms: 800, end: undefined },
+    { name: 'is refused after 1 s, while its caller can still go elsewhere', objectiveMs: 4000, ms: 1000, end: { type: 'refused', reason: REASONS.overload } },
+    { name: 'still waits after 500 ms, as its answer would not be far beyond its objective of 500 ms', objectiveMs: 500, ms: 500, end: undefined },
+    { name: 'is refused after 700 ms, as its answer would be far beyond its objective of 500 ms', objectiveMs: 500, ms: 700, end: { type: 'refused', reason: REASONS.overload } }
   ]
-  it.each(patience)('a job that finds no room: $name', async ({ objectiveMs, ms, end }) => {
-    const network = await started(1, 1)
+  it.each(waits)('a job that finds no free capacity $name', async ({ objectiveMs, ms, end }) => {
+    const network = await startNetwork(1, 1)
     network.endpoints[0]!.runMs = 5000
     network.submit(0, 'long', 2, { estimateMs: 5000 })
     await network.advance(50)
@@ -286,15 +289,15 @@
     else expect(network.jobEnds.get('j')).toMatchObject(end)
   })
 
-  it('refusals are only said of jobs of which nothing ever starts', async () => {
-    const network = await started(2, 2)
+  it('no task of a refused job ever starts, though every second start is carried out late', async () => {
+    const network = await startNetwork(2, 2)
     let calls = 0
     for (const endpoint of network.endpoints) endpoint.fault = (name) => name === 'start' && ++calls % 2 === 0 ? 'late' : 'none'
     const objective = { stretch: 1.5, slackMs: 50, lateFactor: 3 }
     for (let job = 0; job < 30; job++) network.submit(job % 2, `j${job}`, 2, { objective })
     await network.advance(6000)
     const refused = [...network.jobEnds].filter(([, { type }]) => type === 'refused').map(([id]) => id)
-    const ran = new Set(network.endpoints.flatMap(({ endedRuns: past }) => past.map(({ submission }) => submission)))
+    const ran = new Set(network.endpoints.flatMap(({ endedRuns }) => endedRuns.map(({ submission }) => submission)))
     expect(refused.filter((id) => ran.has(id))).toEqual([])
   })
 
@@ -305,16 +308,16 @@
     expect(network.jobEnds.get('j')).toEqual({ type: 'complete' })
   })
 
-  it('without any endpoint a job is refused at once', async () => {
-    const network = await started(1, 0)
+  it('a job is refused at once if the entry has had no endpoint for some seconds', async () => {
+    const network = await startNetwork(1, 0)
     await network.advance(3000)
     network.submit(0, 'j', 1)
     await network.advance(5)
     expect(network.jobEnds.get('j')).toMatchObject({ type: 'refused', reason: REASONS.noEndpoint })
   })
 
-  it('a configuration document reaches entries that cannot read it, through agents', async () => {
-    const network = await started(2, 2)
+  it('agents pass a configuration document on to an entry that cannot read it, and to all entries after these restart', async () => {
+    const network = await startNetwork(2, 2)
     network.entries[0]!.dispatcher.sessions.setConfig(7n, Buffer.from('seven'))
     await network.advance(500)
     expect(network.configDocuments).toContainEqual({ entry: 1, text: 'seven' })
@@ -325,48 +328,48 @@
     expect(network.configDocuments.map(({ entry }) => entry).sort()).toEqual([0, 1])
   })
 
-  it('any series of faults: no two runs of a task overlap and no endpoint is over its capacity', async () => {
+  it('random faults: no two runs of a task overlap, and no endpoint exceeds its capacity', async () => {
     const action = fc.oneof(
       fc.record({ type: fc.constant('submit' as const), entry: fc.nat(1), count: fc.integer({ min: 1, max: 4 }) }),
       fc.record({ type: fc.constant('kill_agent' as const), agent: fc.nat(2) }),
       fc.record({ type: fc.constant('kill_entry' as const), entry: fc.nat(1) }),
       fc.record({ type: fc.constant('cut' as const), agent: fc.nat(2), entry: fc.nat(1) }),
-      fc.record({ type: fc.constant('heal' as const), agent: fc.nat(2), entry: fc.nat(1) }),
+      fc.record({ type: fc.constant('restore' as const), agent: fc.nat(2), entry: fc.nat(1) }),
       fc.record({ type: fc.constant('wait' as const), ms: fc.integer({ min: 20, max: 800 }) }),
       fc.record({ type: fc.constant('slow' as const), agent: fc.nat(2), runMs: fc.constantFrom(50, 300, 3000) }))
     await fc.assert(fc.asyncProperty(fc.array(action, { maxLength: 25 }), fc.nat(), async (actions, seed) => {
-      const network = await started(2, 3)
+      const network = await startNetwork(2, 3)
       let calls = seed % 7
       for (const endpoint of network.endpoints) endpoint.fault = (name) => name === 'start' && ++calls % 7 === 0 ? 'answer_lost' : 'none'
-      const resend: Array<{ at: number, id: string, count: number }> = []
+      const resubmissions: Array<{ at: number, id: string, count: number }> = []
       let jobs = 0
-      const open = new Map<string, { entry: number, count: number }>()
-      const resendDue = (): void => {
-        for (const due of resend.filter(({ at }) => at <= network.clock.now())) {
-          resend.splice(resend.indexOf(due), 1)
+      const submitted = new Map<string, { entry: number, count: number }>()
+      const resubmitDue = (): void => {
+        for (const due of resubmissions.filter(({ at }) => at <= network.clock.now())) {
+          resubmissions.splice(resubmissions.indexOf(due), 1)
           network.submit(1, due.id, due.count)
         }
       }
       for (const act of actions) {
         if (act.type === 'submit') {
           const id = `j${jobs++}`
-          open.set(id, act)
+          submitted.set(id, act)
           network.submit(act.entry, id, act.count)
         }
         if (act.type === 'kill_agent') network.killAgent(act.agent)
         if (act.type === 'kill_entry') {
-          for (const [id, { entry, count }] of open) {
+          for (const [id, { entry, count }] of submitted) {
             if (entry !== act.entry || network.jobEnds.has(id)) continue
-            open.delete(id)
-            resend.push({ at: network.clock.now() + RESEND_MS, id, count })
+            submitted.delete(id)
+            resubmissions.push({ at: network.clock.now() + RESUBMIT_MS, id, count })
           }
           network.killEntry(act.entry)
         }
-        if (act.type === 'cut' || act.type === 'heal') network.cut(act.agent, act.entry, act.type === 'cut')
+        if (act.type === 'cut' || act.type === 'restore') network.cut(act.agent, act.entry, act.type === 'cut')
         if (act.type === 'slow') network.endpoints[act.agent]!.runMs = act.runMs
-        for (let waited = 0; waited < (act.type === 'wait' ? act.ms : 10); waited += 10) {
+        for (let waitedMs = 0; waitedMs < (act.type === 'wait' ? act.ms : 10); waitedMs += 10) {
           await network.advance(10)
-          resendDue()
+          resubmitDue()
         }
       }
       expect(overlappingRuns(network.endpoints)).toEqual([])
--- a/packages/coordination/tests/leased/evacuations.test.ts
+++ b/packages/coordination/tests/leased/evacuations.test.ts
@@ -5,31 +5,33 @@
 import type { FakeEndpoint } from './fakeEndpoint.js'
 import { LeasedNetwork, LEASE_TIMES } from './leasedNetwork.js'
 
-// An operator asks that nothing more be sent to the endpoints of a zone. Neither
-// entries nor agents knew of it: the zone's endpoints got every third start until
-// it was taken back.
+// An operator evacuates an availability zone, and its endpoints must get no more starts.
+// If entries or agents do not learn of it, the zone's endpoints keep getting starts
+// (in one failure every third one) until the evacuation is withdrawn.
 
+/** Time in which all sessions open. */
 const JOIN_MS = 400
-/** From the moment at which one entry has read an evacuation until every agent has heard of it, without faults. */
-const HEARD_MS = 20
-/** Through an agent to an entry that does not read the store itself: a keep-alive each way. */
-const PASSED_ON_MS = 400
+/** Time from an entry's reading of an evacuation until every agent knows of it, without faults. */
+const AGENTS_KNOW_MS = 20
+/** The same until entries that do not read the store know of it, through an agent: a keep-alive each way. */
+const ENTRIES_KNOW_MS = 400
 
 /** Agents 0 and 1 are in the zone "a", 2 and 3 in "b". */
 const zoneOf = (agent: number): string => agent < 2 ? 'a' : 'b'
 
-const started = async (entries: number, isJoined = true): Promise<LeasedNetwork> => {
+const startNetwork = async (entries: number, isJoined = true): Promise<LeasedNetwork> => {
   const network = new LeasedNetwork(entries, 4, LEASE_TIMES, CAPACITY, zoneOf)
   if (isJoined) await network.advance(JOIN_MS)
   return network
 }
 
+/** An entry reads from the store which zones are evacuated. */
 const evacuate = (network: LeasedNetwork, entry: number, version: bigint, zones: string[]): void =>
   network.entries[entry]!.dispatcher.sessions.setEvacuations({ version, zones })
 
-const startsAt = ({ endedRuns: past, openRuns: open }: FakeEndpoint, since = 0): number => [...past, ...open].filter(({ startedAt: from }) => from >= since).length
+const startsAt = ({ endedRuns, openRuns }: FakeEndpoint, since = 0): number => [...endedRuns, ...openRuns].filter(({ startedAt }) => startedAt >= since).length
 
-/** Starts in the zone "a" and elsewhere since a moment. */
+/** Number of starts in the zone "a" and elsewhere since a point in time. */
 const startsOf = ({ endpoints }: LeasedNetwork, since: number) => ({
   inside: startsAt(endpoints[0]!, since) + startsAt(endpoints[1]!, since),
   outside: startsAt(endpoints[2]!, since) + startsAt(endpoints[3]!, since)
@@ -42,34 +44,34 @@
   }
 }
 
-const completed = (network: LeasedNetwork, prefix: string): number =>
+const countCompleted = (network: LeasedNetwork, prefix: string): number =>
   [...network.jobEnds].filter(([id, { type }]) => id.startsWith(prefix) && type === 'complete').length
 
 describe('the endpoints of an evacuated zone', () => {
-  it('get no start from any entry, while what runs there is finished and answered', async () => {
-    const network = await started(2)
+  it('get no start from any entry, while their running tasks complete', async () => {
+    const network = await startNetwork(2)
     for (const endpoint of network.endpoints) endpoint.runMs = 700
     for (let job = 0; job < 4; job++) network.submit(job % 2, `before${job}`, 2, { kind: 'long', estimateMs: 700 })
     await network.advance(100)
     expect(startsOf(network, 0).inside).toBeGreaterThan(0)
     evacuate(network, 0, 5n, ['a'])
-    await network.advance(PASSED_ON_MS)
+    await network.advance(ENTRIES_KNOW_MS)
     for (const endpoint of network.endpoints) endpoint.runMs = 100
     const since = network.clock.now()
     await submitMany(network, 'after', 20, (job) => job % 2)
     await network.advance(3000)
     expect(startsOf(network, since)).toEqual({ inside: 0, outside: 40 })
-    expect([completed(network, 'before'), completed(network, 'after')]).toEqual([4, 20])
+    expect([countCompleted(network, 'before'), countCompleted(network, 'after')]).toEqual([4, 20])
     expect(network.endedStartCounts.get(REASONS.leaseExpired)).toBeUndefined()
     expect(overlappingRuns(network.endpoints)).toEqual([])
   })
 
-  it('get none from the moment at which their agents heard of it, though an entry still sends', async () => {
-    const network = await started(2)
-    // Entry 1 reads no store, and its links are silent to all but one agent of the zone.
+  it('get no start once their agents know, though an entry that does not know still sends starts', async () => {
+    const network = await startNetwork(2)
+    // Entry 1 does not read the store, and has a link to one agent of the zone only.
     for (const agent of [1, 2, 3]) network.cut(agent, 1, true)
     evacuate(network, 0, 5n, ['a'])
-    await network.advance(HEARD_MS)
+    await network.advance(AGENTS_KNOW_MS)
     const since = network.clock.now()
     await submitMany(network, 'late', 10, () => 1)
     await network.advance(500)
@@ -77,100 +79,101 @@
     for (const agent of [1, 2, 3]) network.cut(agent, 1, false)
     await network.advance(4000)
     expect(startsOf(network, since)).toEqual({ inside: 0, outside: 20 })
-    expect(completed(network, 'late')).toBe(10)
+    expect(countCompleted(network, 'late')).toBe(10)
   })
 
-  it('give back the starts that wait there for room, and those run elsewhere', async () => {
+  it('return starts that wait there for capacity, and those tasks run elsewhere', async () => {
     const JOBS = 14
-    const network = await started(1)
+    const network = await startNetwork(1)
     for (const endpoint of network.endpoints) endpoint.runMs = 500
     for (let job = 0; job < JOBS; job++) network.submit(0, `j${job}`, 2)
     await network.advance(30)
     evacuate(network, 0, 5n, ['a'])
-    await network.advance(HEARD_MS)
+    await network.advance(AGENTS_KNOW_MS)
     const since = network.clock.now()
     await network.advance(10_000)
     expect(startsOf(network, since).inside).toBe(0)
-    expect(completed(network, 'j')).toBe(JOBS)
+    expect(countCompleted(network, 'j')).toBe(JOBS)
     expect(overlappingRuns(network.endpoints)).toEqual([])
   })
 
-  it('count for nothing at admission: with all zones evacuated a job is refused at once, as not run', async () => {
-    const network = await started(1)
+  it('count as no capacity at admission: a job is refused at once while all zones are evacuated', async () => {
+    const network = await startNetwork(1)
     evacuate(network, 0, 5n, ['a', 'b'])
-    await network.advance(HEARD_MS)
+    await network.advance(AGENTS_KNOW_MS)
     network.submit(0, 'j', 2)
     await network.advance(5)
     expect(network.jobEnds.get('j')).toMatchObject({ type: 'refused', reason: REASONS.noEndpoint })
   })
 
-  it('get work again once the zone is restored', async () => {
-    const network = await started(2)
+  it('get starts again once the zone is restored', async () => {
+    const network = await startNetwork(2)
     evacuate(network, 0, 5n, ['a'])
-    await network.advance(PASSED_ON_MS)
+    await network.advance(ENTRIES_KNOW_MS)
     evacuate(network, 0, 9n, [])
-    await network.advance(PASSED_ON_MS)
+    await network.advance(ENTRIES_KNOW_MS)
     const since = network.clock.now()
     for (let job = 0; job < 12; job++) network.submit(job % 2, `j${job}`, 4)
     await network.advance(3000)
     expect(startsOf(network, since).inside).toBeGreaterThan(0)
-    expect(completed(network, 'j')).toBe(12)
+    expect(countCompleted(network, 'j')).toBe(12)
   })
 
-  const lateNews: Array<{ name: string, told: Array<{ version: bigint, zones: string[] }>, isEvacuated: boolean }> = [
-    { name: 'its removal, heard before the request', told: [{ version: 9n, zones: [] }, { version: 5n, zones: ['a'] }], isEvacuated: false },
-    { name: 'its removal and the next request, in reverse', told: [{ version: 12n, zones: ['a'] }, { version: 9n, zones: [] }], isEvacuated: true },
-    { name: 'the same news twice', told: [{ version: 5n, zones: ['a'] }, { version: 5n, zones: ['a'] }], isEvacuated: true },
-    { name: 'the zone evacuated, then another one as well', told: [{ version: 5n, zones: ['a'] }, { version: 7n, zones: ['a', 'b'] }], isEvacuated: true }
+  const listOrders: Array<{ name: string, lists: Array<{ version: bigint, zones: string[] }>, isEvacuated: boolean }> = [
+    { name: 'the removal of an evacuation is read before the evacuation', lists: [{ version: 9n, zones: [] }, { version: 5n, zones: ['a'] }], isEvacuated: false },
+    { name: 'a new evacuation is read before the removal of an earlier one', lists: [{ version: 12n, zones: ['a'] }, { version: 9n, zones: [] }], isEvacuated: true },
+    { name: 'the same list is read twice', lists: [{ version: 5n, zones: ['a'] }, { version: 5n, zones: ['a'] }], isEvacuated: true },
+    { name: 'the zone is evacuated, then another one as well', lists: [{ version: 5n, zones: ['a'] }, { version: 7n, zones: ['a', 'b'] }], isEvacuated: true }
   ]
-  it.each(lateNews)('follow the newest list, whoever told it: $name', async ({ told, isEvacuated }) => {
-    const network = await started(2)
-    for (const [index, { version, zones }] of told.entries()) {
+  it.each(listOrders)('follow the newest list, whichever entry reads it: $name (evacuated: $isEvacuated)', async ({ lists, isEvacuated }) => {
+    const network = await startNetwork(2)
+    for (const [index, { version, zones }] of lists.entries()) {
       evacuate(network, index % 2, version, zones)
-      await network.advance(HEARD_MS)
+      await network.advance(AGENTS_KNOW_MS)
     }
-    await network.advance(PASSED_ON_MS)
+    await network.advance(ENTRIES_KNOW_MS)
     for (const entry of network.entries) expect(entry.dispatcher.sessions.evacuatedZones.includes('a')).toBe(isEvacuated)
     for (const { host } of network.agents.slice(0, 2)) expect(host.isEvacuated).toBe(isEvacuated)
   })
 
-  const restarts: Array<{ name: string, act: (network: LeasedNetwork) => void, mostRefused?: number }> = [
+  const restarts: Array<{ name: string, act: (network: LeasedNetwork) => void, maxRefused?: number }> = [
     { name: 'an agent of the zone restarts', act: (network) => network.killAgent(0) },
-    // For a moment there is no endpoint at all.
-    { name: 'all agents restart', act: (network) => { for (let agent = 0; agent < 4; agent++) network.killAgent(agent) }, mostRefused: 2 },
-    { name: 'an entry restarts without a store', act: (network) => network.killEntry(1) },
-    { name: 'all entries restart without a store', act: (network) => { network.killEntry(0); network.killEntry(1) } },
+    // No endpoint is known for a moment, so that jobs are refused.
+    { name: 'all agents restart', act: (network) => { for (let agent = 0; agent < 4; agent++) network.killAgent(agent) }, maxRefused: 2 },
+    { name: 'an entry restarts and cannot read the store', act: (network) => network.killEntry(1) },
+    { name: 'all entries restart and cannot read the store', act: (network) => { network.killEntry(0); network.killEntry(1) } },
     { name: 'an entry and an agent restart at once', act: (network) => { network.killEntry(1); network.killAgent(0) } },
-    { name: 'an endpoint of the zone starts again', act: (network) => network.restartEndpoint(0) }
+    { name: 'an endpoint of the zone restarts', act: (network) => network.restartEndpoint(0) }
   ]
-  it.each(restarts)('get no start after $name', async ({ act, mostRefused = 0 }) => {
-    const network = await started(2)
+  it.each(restarts)('get no start after $name', async ({ act, maxRefused = 0 }) => {
+    const network = await startNetwork(2)
     evacuate(network, 0, 5n, ['a'])
-    await network.advance(PASSED_ON_MS)
+    await network.advance(ENTRIES_KNOW_MS)
     act(network)
     const since = network.clock.now()
     await submitMany(network, 'j', 16, (job) => job % 2)
     await network.advance(4000)
+    // Any beyond the first four are new incarnations of the zone's endpoint 0.
     const [first, second, ...others] = network.endpoints
     const inside = [first!, second!, ...others.slice(2)]
     expect(inside.reduce((sum, endpoint) => sum + startsAt(endpoint, since), 0)).toBe(0)
     const refused = [...network.jobEnds.values()].filter((end) => end.type === 'refused' && end.reason === REASONS.noEndpoint).length
-    expect(completed(network, 'j') + refused).toBe(16)
-    expect(refused).toBeLessThanOrEqual(mostRefused)
+    expect(countCompleted(network, 'j') + refused).toBe(16)
+    expect(refused).toBeLessThanOrEqual(maxRefused)
   })
 
   const SEEDS = Array.from({ length: 12 }, (_, index) => ({ seed: index + 1 }))
-  it.each(SEEDS)('hold under restarts, cuts and changes that overlap, seed $seed', async ({ seed }) => {
+  it.each(SEEDS)('get no start under overlapping restarts, cut links and changes of the list (seed $seed)', async ({ seed }) => {
     const random = seededRandom(seed)
     const pick = (count: number): number => Math.floor(random() * count)
-    const network = await started(3)
+    const network = await startNetwork(3)
     let version = 1n
     let zones: string[] = []
     for (let round = 0; round < 6; round++) {
       const isEvacuating = zones.length === 0
       zones = isEvacuating ? ['a'] : []
       version += BigInt(1 + pick(3))
-      // Entry 0 always reads the store; the others may not.
+      // Entry 0 always reads the store; the others do so at random.
       evacuate(network, 0, version, zones)
       if (random() < 0.5) evacuate(network, 1 + pick(2), version, zones)
       if (random() < 0.5) network.killAgent(pick(4))
@@ -179,7 +182,7 @@
       network.cut(cut.agent, cut.entry, true)
       await submitMany(network, `r${round}-`, 5, () => pick(3))
       network.cut(cut.agent, cut.entry, false)
-      // Whatever was cut or restarted is back for longer than a session takes to open.
+      // Longer than sessions take to open again after the cut and the restarts.
       await network.advance(1500)
       const since = network.clock.now()
       await submitMany(network, `s${round}-`, 5, () => pick(3))
--- a/packages/coordination/tests/leased/fakeEndpoint.ts
+++ b/packages/coordination/tests/leased/fakeEndpoint.ts
@@ -10,63 +10,70 @@
   endsAt: number
 }
 
-/** What an endpoint does with a call. */
+/** Fault of one call. */
 export type CallFault =
   | 'none'
-  /** Nothing is done, and nothing answered. */
+  /** The call is neither carried out nor answered. */
   | 'lost'
-  /** It is done, and not answered. */
+  /** The call is carried out, but not answered. */
   | 'answer_lost'
-  /** Not answered, and done 3 s later. */
+  /** The call is not answered, and carried out 3 s later. */
   | 'late'
 
-/** What calls of an endpoint that has crashed meet. */
+/** What happens to calls of an endpoint that has crashed. */
 export type CrashMode =
-  /** Nothing, for good. */
-  | 'stuck'
-  /** Nothing within their limits. */
-  | 'silent'
+  /** They never return. */
+  | 'hang'
+  /** They return without an answer after their time limit. */
+  | 'time_out'
   /** Their connections are refused. */
-  | 'refused'
+  | 'refuse'
 
-/** What tasks do to the endpoint that starts them. */
-export interface Poison {
-  /** Time from its start until a task crashes its endpoint; undefined for harmless ones. */
+/** Which tasks crash the endpoint that runs them. */
+export interface CrashPlan {
+  /** Time from the start of a task of this submission until its endpoint crashes; undefined if it does not. */
   crashAfterMs: (submission: string) => number | undefined
-  down: CrashMode
-  /** The endpoint has crashed. */
+  mode: CrashMode
+  /** Called after a task has crashed the endpoint. */
   onCrash: () => void
 }
 
-const NO_POISON: Poison = { crashAfterMs: () => undefined, down: 'stuck', onCrash: () => {} }
+const NO_CRASHES: CrashPlan = { crashAfterMs: () => undefined, mode: 'hang', onCrash: () => {} }
 
-/** A run as it happened, for checks. */
+/** When a run took place, as a test checks it. */
 export interface RunRecord extends RunRef {
   startedAt: number
+  /** Infinity while it runs. */
   endedAt: number
 }
 
 const LATE_MS = 3000
-/** A caller's time limit, unless a test says otherwise. */
+/** Time limit of calls, unless a test sets another. */
 const CALL_LIMIT_MS = 60
 const STEP_MS = 5
 
-/** An endpoint with leases, run numbers and a list of ends, on a fake clock. */
+/**
+ * Stands for one incarnation of an endpoint, with its run lease, run numbers and list
+ * of ended runs, on a fake clock. In contrast to a real endpoint it runs no code, ends
+ * runs only when `tick` is called, and records starts over its capacity, which it does
+ * not refuse.
+ */
 export class FakeEndpoint implements LeasedEndpoint {
   readonly endedRuns: RunRecord[] = []
-  /** Most of the capacity ever in use. */
+  /** The highest CPU use of all concurrent runs so far. */
   peakCpuMilli = 0
-  /** What it has last told that it has, if a test says so; in thousandths of a core. */
+  /** The CPU capacity that the agent was last notified of, if a test sets it. */
   announcedCpuMilli = Infinity
-  /** Starts that brought what runs over that. */
+  /** Starts that made the runs exceed the announced capacity. */
   readonly startsOverCapacity: string[] = []
   fault: (call: 'start' | 'stop' | 'hold') => CallFault = () => 'none'
-  /** How long the next runs take. */
+  /** Duration of the runs that start from now on. */
   runMs = 100
+  /** Runs end as failed. */
   isFailing = false
-  poison = NO_POISON
-  /** Told of each run that begins, and of each that a crash ends. */
-  onRun: (what: 'start' | 'crash', name: string) => void = () => {}
+  crashPlan = NO_CRASHES
+  /** Called for each run that starts, and for each that a crash ends. */
+  onRunEvent: (type: 'start' | 'crash', task: string) => void = () => {}
   private readonly running = new Map<string, FakeRun>()
   private readonly highestEndedRun = new Map<string, number>()
   private listedEnds: ListedEnd[] = []
@@ -74,7 +81,7 @@
   private leaseEndsAt = 0
   private isDown = false
 
-  /** Calls so far, by kind. */
+  /** Number of calls so far, by kind. */
   readonly calls = { start: 0, stop: 0, hold: 0 }
 
   constructor (private readonly clock: Clock, readonly cpuMilliOf: (submission: string) => number, private readonly callLimitMs = CALL_LIMIT_MS) {}
@@ -83,54 +90,54 @@
   stop = (run: RunRef): Promise<boolean> => this.call('stop', () => this.onStop(run), false)
 
   hold: LeasedEndpoint['hold'] = async ({ holdMs, lastSeen, waitMs }) => {
-    const until = holdMs === undefined ? 0 : this.clock.now() + holdMs
-    const isSeen = await this.call('hold', () => {
-      this.leaseEndsAt = Math.max(this.leaseEndsAt, until)
+    const leaseEndsAt = holdMs === undefined ? 0 : this.clock.now() + holdMs
+    const isAnswered = await this.call('hold', () => {
+      this.leaseEndsAt = Math.max(this.leaseEndsAt, leaseEndsAt)
       this.listedEnds = this.listedEnds.filter(({ seq }) => seq > lastSeen)
       return true
     }, false)
-    if (this.isDown) return { type: 'unknown', isRefused: this.poison.down === 'refused' }
-    if (!isSeen) {
+    if (this.isDown) return { type: 'unknown', isRefused: this.crashPlan.mode === 'refuse' }
+    if (!isAnswered) {
       await this.clock.sleep(waitMs)
       return { type: 'unknown' }
     }
     for (let waited = 0; waited < waitMs && this.listedEnds.length === 0 && !this.isDown; waited += STEP_MS) await this.clock.sleep(STEP_MS)
-    // The answer of one that has crashed meanwhile never comes.
-    if (this.isDown) return this.callDown<HoldOutcome>('hold', { type: 'unknown' })
-    return this.show()
+    // The endpoint may have crashed while the call waited for an end.
+    if (this.isDown) return this.callAfterCrash<HoldOutcome>('hold', { type: 'unknown' })
+    return this.list()
   }
 
-  /** Ends what is due; to be called as time passes. */
+  /** Ends the runs that are due; must be called as time passes. */
   tick (): void {
     for (const run of [...this.running.values()]) {
       if (this.clock.now() > this.leaseEndsAt) this.finish(run, RUN_ENDS.lapsed)
-      else if (this.isPoisoned(run)) return this.crashByItself()
+      else if (this.isCrashDue(run)) return this.crashByTask()
       else if (this.clock.now() >= run.endsAt) this.finish(run, this.isFailing ? RUN_ENDS.failed : RUN_ENDS.done)
     }
   }
 
-  /** Its life is over: nothing runs, and no call is answered any more. */
+  /** Ends this incarnation: all runs end, and no call is answered any more. */
   crash (): void {
     for (const run of [...this.running.values()]) {
-      this.onRun('crash', `${run.submission}.${run.index}`)
+      this.onRunEvent('crash', `${run.submission}.${run.index}`)
       this.finish(run, RUN_ENDS.lapsed)
     }
     this.isDown = true
   }
 
-  /** Everything that is running, as past runs that go on. */
+  /** The runs that have not ended. */
   get openRuns (): RunRecord[] {
     return [...this.running.values()].map(({ submission, index, run, startedAt }) => ({ submission, index, run, startedAt, endedAt: Infinity }))
   }
 
-  private show (): HoldOutcome {
+  private list (): HoldOutcome {
     this.tick()
     return { type: 'held', running: [...this.running.values()].map(({ submission, index, run }) => ({ submission, index, run })), ended: [...this.listedEnds] }
   }
 
   private async call<T> (name: 'start' | 'stop' | 'hold', act: () => T, unanswered: T): Promise<T> {
     this.calls[name]++
-    if (this.isDown) return this.callDown(name, unanswered)
+    if (this.isDown) return this.callAfterCrash(name, unanswered)
     const fault = this.fault(name)
     if (fault === 'none') return act()
     if (fault === 'answer_lost') act()
@@ -139,71 +146,71 @@
     return unanswered
   }
 
-  private async callDown<T> (name: 'start' | 'stop' | 'hold', unanswered: T): Promise<T> {
-    if (this.poison.down === 'stuck') return new Promise(() => {})
-    if (this.poison.down === 'silent') await this.clock.sleep(this.callLimitMs)
+  private async callAfterCrash<T> (name: 'start' | 'stop' | 'hold', unanswered: T): Promise<T> {
+    if (this.crashPlan.mode === 'hang') return new Promise(() => {})
+    if (this.crashPlan.mode === 'time_out') await this.clock.sleep(this.callLimitMs)
     else if (name === 'start') return { type: 'refused', reason: REASONS.endpointRefused } as T
     return unanswered
   }
 
-  private isPoisoned ({ submission, startedAt }: FakeRun): boolean {
-    const afterMs = this.poison.crashAfterMs(submission)
+  private isCrashDue ({ submission, startedAt }: FakeRun): boolean {
+    const afterMs = this.crashPlan.crashAfterMs(submission)
     return afterMs !== undefined && this.clock.now() - startedAt >= afterMs
   }
 
-  private crashByItself (): void {
+  private crashByTask (): void {
     this.crash()
-    this.poison.onCrash()
+    this.crashPlan.onCrash()
   }
 
   private onStart ({ submission, index, run, holdMs }: StartOrder): StartOutcome {
     this.tick()
-    const name = `${submission}.${index}`
-    if (run <= (this.highestEndedRun.get(name) ?? 0)) return { type: 'number_used' }
-    const sentAt = this.clock.now()
-    if (sentAt + holdMs < this.clock.now()) return { type: 'refused', reason: REASONS.endpointBusy }
-    this.leaseEndsAt = Math.max(this.leaseEndsAt, sentAt + holdMs)
-    if (this.running.has(name)) return { type: 'started' }
-    this.running.set(name, { submission, index, run, cpuMilli: this.cpuMilliOf(submission), startedAt: sentAt, endsAt: sentAt + this.runMs })
-    this.onRun('start', name)
-    let cpu = 0
-    for (const { cpuMilli } of this.running.values()) cpu += cpuMilli
-    this.peakCpuMilli = Math.max(this.peakCpuMilli, cpu)
-    if (cpu > this.announcedCpuMilli) this.startsOverCapacity.push(`${name}#${run} at ${this.clock.now()}: ${cpu} of ${this.announcedCpuMilli}`)
+    const task = `${submission}.${index}`
+    if (run <= (this.highestEndedRun.get(task) ?? 0)) return { type: 'number_used' }
+    const now = this.clock.now()
+    if (now + holdMs < this.clock.now()) return { type: 'refused', reason: REASONS.endpointBusy }
+    this.leaseEndsAt = Math.max(this.leaseEndsAt, now + holdMs)
+    if (this.running.has(task)) return { type: 'started' }
+    this.running.set(task, { submission, index, run, cpuMilli: this.cpuMilliOf(submission), startedAt: now, endsAt: now + this.runMs })
+    this.onRunEvent('start', task)
+    let usedMilli = 0
+    for (const { cpuMilli } of this.running.values()) usedMilli += cpuMilli
+    this.peakCpuMilli = Math.max(this.peakCpuMilli, usedMilli)
+    if (usedMilli > this.announcedCpuMilli) this.startsOverCapacity.push(`${task}#${run} at ${this.clock.now()}: ${usedMilli} of ${this.announcedCpuMilli}`)
     return { type: 'started' }
   }
 
   private onStop ({ submission, index, run }: RunRef): boolean {
     this.tick()
-    const name = `${submission}.${index}`
-    this.highestEndedRun.set(name, Math.max(run, this.highestEndedRun.get(name) ?? 0))
-    const running = this.running.get(name)
+    const task = `${submission}.${index}`
+    this.highestEndedRun.set(task, Math.max(run, this.highestEndedRun.get(task) ?? 0))
+    const running = this.running.get(task)
     if (running !== undefined && running.run <= run) this.finish(running, RUN_ENDS.stopped)
     return true
   }
 
-  private finish (run: FakeRun, how: RunEnd): void {
-    const { submission, index, run: number, startedAt } = run
-    const name = `${submission}.${index}`
-    this.running.delete(name)
-    this.highestEndedRun.set(name, Math.max(number, this.highestEndedRun.get(name) ?? 0))
-    this.listedEnds.push({ seq: ++this.seq, submission, index, run: number, how })
-    this.endedRuns.push({ submission, index, run: number, startedAt, endedAt: this.clock.now() })
+  private finish (fakeRun: FakeRun, how: RunEnd): void {
+    const { submission, index, run, startedAt } = fakeRun
+    const task = `${submission}.${index}`
+    this.running.delete(task)
+    this.highestEndedRun.set(task, Math.max(run, this.highestEndedRun.get(task) ?? 0))
+    this.listedEnds.push({ seq: ++this.seq, submission, index, run, how })
+    this.endedRuns.push({ submission, index, run, startedAt, endedAt: this.clock.now() })
   }
 }
 
-/** Runs of one task that overlap, over all endpoints. */
+/** Describes each pair of consecutive runs of one task that overlap, at any of the endpoints. */
 export const overlappingRuns = (endpoints: FakeEndpoint[]): string[] => {
-  const byTask = new Map<string, RunRecord[]>()
-  for (const run of endpoints.flatMap(({ endedRuns: past, openRuns: open }) => [...past, ...open])) {
-    const name = `${run.submission}.${run.index}`
-    byTask.set(name, [...byTask.get(name) ?? [], run])
+  const runsByTask = new Map<string, RunRecord[]>()
+  for (const run of endpoints.flatMap(({ endedRuns, openRuns }) => [...endedRuns, ...openRuns])) {
+    const task = `${run.submission}.${run.index}`
+    runsByTask.set(task, [...runsByTask.get(task) ?? [], run])
   }
-  return [...byTask].flatMap(([name, runs]) => {
+  return [...runsByTask].flatMap(([task, runs]) => {
     const sorted = [...runs].sort((a, b) => a.startedAt - b.startedAt)
-    return sorted.slice(1).flatMap((run, at) => run.startedAt < sorted[at]!.endedAt ? [`${name}: ${sorted[at]!.startedAt}-${sorted[at]!.endedAt} and ${run.startedAt}`] : [])
+    return sorted.slice(1).flatMap((run, at) => run.startedAt < sorted[at]!.endedAt ? [`${task}: ${sorted[at]!.startedAt}-${sorted[at]!.endedAt} and ${run.startedAt}`] : [])
   })
 }
 
-/** What an endpoint of these tests offers. */
+/** Capacity of an endpoint, unless a test sets another. */
 export const CAPACITY: Resources = { cpuMilli: 4000, memoryMb: 4000 }
--- a/packages/coordination/tests/leased/leasedNetwork.ts
+++ b/packages/coordination/tests/leased/leasedNetwork.ts
@@ -13,27 +13,32 @@
 import type { CrashMode } from './fakeEndpoint.js'
 
 export const LEASE_TIMES: LeaseTimes = { authorityMs: 600, holdMs: 500, stopMs: 50, clockFactor: 1.02 }
+/** Interval of the agents' frames. */
 const KEEP_ALIVE_MS = 150
+/** An entry sends a frame once it has sent none for this long. */
 const ENTRY_KEEP_ALIVE_MS = 200
 const SESSION_TIMEOUT_MS = 500
 const REDIAL_MS = 50
 const STEP_MS = 5
-const TASK_CPU = 1600
-/** Of entries, and of agents unless a test says otherwise. */
+const TASK_CPU_MILLI = 1600
+/** Zone of the entries, and of the agents unless a test sets others. */
 const ZONE = 'z'
 
-/** Settles what is ready without moving the clock. */
-const settle = async (): Promise<void> => { for (let i = 0; i < 4; i++) await new Promise((resolve) => setImmediate(resolve)) }
+/** Runs pending callbacks and promises without advancing the clock. */
+const flushPromises = async (): Promise<void> => { for (let i = 0; i < 4; i++) await new Promise((resolve) => setImmediate(resolve)) }
 
+/** An agent and an entry, with the link between them. */
 interface Pair {
   agent: number
   entry: number
-  /** The link is silent: frames and ends of connections are held up. */
+  /** Frames and the closing of connections are delayed until the link is restored. */
   isCut: boolean
+  /** Closes the connection; unset while there is none. */
   close: (() => void) | undefined
   lastSeenAt: number
 }
 
+/** The process of an entry. */
 interface Entry {
   incarnation: string
   process: ProcessClock
@@ -42,6 +47,7 @@
   isUp: boolean
 }
 
+/** The process of an agent, with the endpoint beside it. */
 interface Agent {
   incarnation: string
   process: ProcessClock
@@ -51,52 +57,58 @@
   isUp: boolean
 }
 
-const EVENTS: LeasedDispatchEvents = {
+const NO_EVENTS: LeasedDispatchEvents = {
   ended: () => {}, sent: () => {}, moved: () => {}, requeued: () => {}, suspected: () => {}, result: () => {}, agentChanged: () => {}, agentLost: () => {}, configSeen: () => {}, evacuationsChanged: () => {}
 }
 
-/** Entries and agents in one process on a fake clock, with links that can be cut. */
+/**
+ * Entries and agents for ephemeral jobs on one fake clock. In contrast to a deployment
+ * they share one event loop, and pass frames as objects over links that can be cut; a
+ * process that dies is replaced by a new dispatcher or host.
+ */
 export class LeasedNetwork {
   readonly clock: FakeClock = createFakeClock()
   readonly entries: Entry[] = []
   readonly agents: Agent[] = []
+  /** How jobs ended, by id. */
   readonly jobEnds = new Map<string, LeasedJobEnd>()
+  /** All incarnations of all endpoints, in the order of their start. */
   readonly endpoints: FakeEndpoint[] = []
-  /** Documents that entries heard of from agents. */
+  /** Configuration documents that entries received from agents. */
   readonly configDocuments: Array<{ entry: number, text: string }> = []
-  /** What began, and what crashes ended, in order; once tasks can be poisonous. */
-  readonly runEvents: Array<{ what: 'start' | 'crash', name: string, at: number }> = []
-  /** Told of what entries notice of agents. */
+  /** Runs that started, and runs that a crash ended, in order; recorded after `setCrashPlan`. */
+  readonly runEvents: Array<{ type: 'start' | 'crash', task: string, at: number }> = []
+  /** Called when an entry notices a change of an agent. */
   onAgentChanged: LeasedDispatchEvents['agentChanged'] = () => {}
-  /** Frames that entries sent. */
+  /** Number of frames that entries sent. */
   entryFrameCount = 0
   private readonly pairs: Pair[] = []
   private incarnationCount = 0
 
-  /** Starts that ended, by outcome and reason. */
+  /** Number of starts that ended, by reason, or by outcome where there is no reason. */
   readonly endedStartCounts = new Map<string, number>()
 
-  constructor (entryCount: number, agentCount: number, private readonly times = LEASE_TIMES, private readonly capacity = CAPACITY, private readonly zoneOf: (agent: number) => string = () => ZONE, private readonly bootClock: BootClock = 'none') {
+  constructor (entryCount: number, agentCount: number, private readonly times = LEASE_TIMES, private readonly capacity = CAPACITY, private readonly zoneOf: (agent: number) => string = () => ZONE, private readonly bootClock: BootClock = 'unavailable') {
     for (let entry = 0; entry < entryCount; entry++) this.entries.push(this.newEntry(entry))
     for (let agent = 0; agent < agentCount; agent++) {
-      this.agents.push(this.newAgent(new FakeEndpoint(this.clock, () => TASK_CPU), agent))
+      this.agents.push(this.newAgent(new FakeEndpoint(this.clock, () => TASK_CPU_MILLI), agent))
       for (let entry = 0; entry < entryCount; entry++) this.pairs.push({ agent, entry, isCut: false, close: undefined, lastSeenAt: 0 })
     }
   }
 
-  /** Moves time on, with everything that happens meanwhile. */
+  /** Advances time in steps, and runs everything that falls due. */
   async advance (ms: number): Promise<void> {
-    for (let passed = 0; passed < ms; passed += STEP_MS) {
+    for (let passedMs = 0; passedMs < ms; passedMs += STEP_MS) {
       for (const endpoint of this.endpoints) endpoint.tick()
       for (const pair of this.pairs) this.connect(pair)
       for (const { dispatcher, process, isUp } of this.entries) if (isUp && !process.isPaused) dispatcher.sweep()
       this.clock.advance(STEP_MS)
-      await settle()
+      await flushPromises()
     }
   }
 
-  /** Submits a job of equal tasks at an entry. */
-  submit (entry: number, id: string, count: number, more: Partial<LeasedJobSpec> = {}): { leave: () => void } {
+  /** Submits a job of equal tasks to an entry. */
+  submit (entry: number, id: string, count: number, overrides: Partial<LeasedJobSpec> = {}): { leave: () => void } {
     const { jobs } = this.entries[entry]!
     const attachment = jobs.submit({
       workspace: 'w',
@@ -105,70 +117,70 @@
       service: 's',
       payload: 'p',
       count,
-      need: { cpuMilli: TASK_CPU, memoryMb: 64 },
+      need: { cpuMilli: TASK_CPU_MILLI, memoryMb: 64 },
       estimateMs: 100,
       kind: 'k',
       priority: 0,
       attempts: 2,
       objective: { stretch: 20, slackMs: 2000, lateFactor: 3 },
       deadlineMs: 10_000,
-      ...more
+      ...overrides
     })
     void attachment.end.then((end) => this.jobEnds.set(id, end))
     return attachment
   }
 
-  /** Cuts or heals the link of an agent and an entry. */
+  /** Cuts or restores the link between an agent and an entry. */
   cut (agent: number, entry: number, isCut: boolean): void {
     for (const pair of this.pairs) if (pair.agent === agent && pair.entry === entry) pair.isCut = isCut
   }
 
-  /** The agent's process dies; another one begins at once if `restarts`. */
+  /** Ends the process of an agent; another one starts at once if `restarts`. */
   killAgent (index: number, restarts = true): void {
     const agent = this.agents[index]!
     for (const pair of this.pairs) if (pair.agent === index) this.drop(pair)
-    // What a dead process would still do must not happen: its endpoint calls go nowhere.
+    // A dead process must not order anything more: its host loses the endpoint, and its calls never return.
     agent.endpoint = this.detach(agent)
     agent.isUp = false
     if (restarts) this.agents[index] = this.newAgent(agent.endpoint, index)
   }
 
-  /** The endpoint of an agent crashes, and its next life is announced at once; it knows nothing of before. */
+  /** Crashes the endpoint of an agent; the next incarnation is announced at once and knows nothing of the earlier one. */
   restartEndpoint (index: number): void {
     this.agents[index]!.endpoint.crash()
     this.beginIncarnation(index)
   }
 
-  /** The endpoint of an agent crashes, and is back after some time. */
-  crashEndpoint (index: number, backMs: number): void {
+  /** Crashes the endpoint of an agent; the next incarnation is announced after `restartAfterMs`. */
+  crashEndpoint (index: number, restartAfterMs: number): void {
     this.agents[index]!.endpoint.crash()
-    this.clock.after(backMs, () => this.beginIncarnation(index))
+    this.clock.after(restartAfterMs, () => this.beginIncarnation(index))
   }
 
-  /** From now on tasks of these submissions crash the endpoints that start them; these are back after some time. */
-  setCrashPlan (crashAfterMs: (submission: string) => number | undefined, down: CrashMode, backMs: number): void {
+  /** From now on tasks crash the endpoints that start them, as `crashAfterMs` says; each endpoint restarts after `restartAfterMs`. */
+  setCrashPlan (crashAfterMs: (submission: string) => number | undefined, mode: CrashMode, restartAfterMs: number): void {
     for (const [index, { endpoint }] of this.agents.entries()) {
-      endpoint.poison = { crashAfterMs, down, onCrash: () => { this.clock.after(backMs, () => this.beginIncarnation(index)) } }
-      endpoint.onRun = (what, name) => { this.runEvents.push({ what, name, at: this.clock.now() }) }
+      endpoint.crashPlan = { crashAfterMs, mode, onCrash: () => { this.clock.after(restartAfterMs, () => this.beginIncarnation(index)) } }
+      endpoint.onRunEvent = (type, task) => { this.runEvents.push({ type, task, at: this.clock.now() }) }
     }
   }
 
   private beginIncarnation (index: number): void {
     const agent = this.agents[index]!
-    const { runMs, poison, onRun } = agent.endpoint
-    agent.endpoint = Object.assign(new FakeEndpoint(this.clock, () => TASK_CPU), { runMs, poison, onRun })
+    const { runMs, crashPlan, onRunEvent } = agent.endpoint
+    agent.endpoint = Object.assign(new FakeEndpoint(this.clock, () => TASK_CPU_MILLI), { runMs, crashPlan, onRunEvent })
     this.endpoints.push(agent.endpoint)
     this.announce(agent)
   }
 
-  /** The endpoint of an agent has another capacity from now on, and its agent hears of it at once. */
+  /** Changes the capacity of an agent's endpoint and notifies the agent at once. */
   setCapacity (index: number, capacity: Resources): void {
     const { host, endpoint } = this.agents[index]!
     endpoint.announcedCpuMilli = capacity.cpuMilli
     host.setCapacity(capacity)
   }
 
-  /** The entry's process dies; another one begins. */
+  /** Ends the process of an entry; another one starts at once. */
   killEntry (index: number): void {
     for (const pair of this.pairs) if (pair.entry === index) this.drop(pair)
     this.entries[index]!.isUp = false
@@ -188,7 +200,7 @@
       random: seededRandom(index),
       zone: ZONE,
       times: this.times,
-      events: { ...EVENTS, agentChanged: (agent, change) => this.onAgentChanged(agent, change), configSeen: (_version, document) => this.configDocuments.push({ entry: index, text: Buffer.from(document).toString() }) },
+      events: { ...NO_EVENTS, agentChanged: (agent, change) => this.onAgentChanged(agent, change), configSeen: (_version, document) => this.configDocuments.push({ entry: index, text: Buffer.from(document).toString() }) },
       setAsideShare: 0.4,
       setAsideBackoff: () => 1000,
       defer: (fn) => { setImmediate(() => process.run(fn)) }
@@ -200,7 +212,7 @@
     if (!this.endpoints.includes(endpoint)) this.endpoints.push(endpoint)
     const process = this.agents[index]?.process ?? new ProcessClock(this.clock, this.bootClock)
     const host = new LeasedHost({
-      clock: process, zone: this.zoneOf(index), times: this.times, holdWaitMs: 100, log: () => {}, observe: (result) => this.count(result)
+      clock: process, zone: this.zoneOf(index), times: this.times, holdWaitMs: 100, log: () => {}, observe: (result) => this.countEndedStart(result)
     })
     const incarnationNumber = this.incarnationCount++
     const agent = { incarnation: `a${incarnationNumber}`, process, host, endpoint, incarnationNumber, isUp: true }
@@ -208,6 +220,7 @@
     return agent
   }
 
+  /** Announces the endpoint's incarnation to its agent. */
   private announce (agent: Agent): void {
     const { host, process, endpoint } = agent
     host.setEndpoint({
@@ -215,7 +228,7 @@
       incarnation: `i${this.endpoints.indexOf(endpoint)}`,
       address: '',
       capacity: Number.isFinite(endpoint.announcedCpuMilli) ? { ...this.capacity, cpuMilli: endpoint.announcedCpuMilli } : this.capacity,
-      // A process that died orders nothing any more.
+      // Calls of a dead process reach nothing and never return.
       endpoint: {
         start: (order) => agent.isUp ? process.receive(endpoint.start(order)) : new Promise(() => {}),
         stop: (run) => agent.isUp ? process.receive(endpoint.stop(run)) : new Promise(() => {}),
@@ -224,9 +237,9 @@
     })
   }
 
-  private count ({ outcome, reason }: TaskResult): void {
-    const name = reason || outcome
-    this.endedStartCounts.set(name, (this.endedStartCounts.get(name) ?? 0) + 1)
+  private countEndedStart ({ outcome, reason }: TaskResult): void {
+    const cause = reason || outcome
+    this.endedStartCounts.set(cause, (this.endedStartCounts.get(cause) ?? 0) + 1)
   }
 
   private drop (pair: Pair): void {
@@ -234,54 +247,58 @@
     pair.close = undefined
   }
 
+  /**
+   * Opens a session between an agent and an entry, if there is none and both can. Each
+   * end closes by itself once it times out, or when it learns that the other has closed.
+   */
   private connect (pair: Pair): void {
     if (pair.close !== undefined || pair.isCut) return
     const agent = this.agents[pair.agent]!
     const entry = this.entries[pair.entry]!
     if (!agent.isUp || agent.process.isPaused || entry.process.isPaused) return
     const isOpen = { agent: true, entry: true }
-    let acked = 0n
+    let acknowledgedSeq = 0n
     const agentNow = (): number => agent.process.now()
     const entryNow = (): number => entry.process.now()
-    const lastSeen = { agent: agentNow(), entry: entryNow() }
+    const receivedAt = { agent: agentNow(), entry: entryNow() }
     let sentToAgentAt = entryNow()
-    const held: Array<() => void> = []
+    const delayed: Array<() => void> = []
     const deliver = (process: ProcessClock, fn: () => void): void => {
-      if (pair.isCut) held.push(() => process.run(fn))
+      if (pair.isCut) delayed.push(() => process.run(fn))
       else setImmediate(() => process.run(fn))
     }
-    const toEntry = (change: (frame: AgentFrame) => void): void => {
+    const toEntry = (fill: (frame: AgentFrame) => void): void => {
       if (!isOpen.agent) return
       const frame = create(AgentFrameSchema)
-      change(frame)
+      fill(frame)
       agent.host.stamp(entry.incarnation, frame)
       deliver(entry.process, () => {
         if (!isOpen.entry || !entry.isUp) return
-        lastSeen.entry = entryNow()
+        receivedAt.entry = entryNow()
         entry.dispatcher.sessions.onFrame(handle, link, frame)
       })
     }
-    const toAgent = (change: (frame: EntryFrame) => void): void => {
+    const toAgent = (fill: (frame: EntryFrame) => void): void => {
       if (!isOpen.entry) return
       const frame = create(EntryFrameSchema)
-      change(frame)
-      frame.ackedSeq = acked
+      fill(frame)
+      frame.ackedSeq = acknowledgedSeq
       sentToAgentAt = entryNow()
       this.entryFrameCount++
       entry.dispatcher.sessions.stamp(handle, frame)
       deliver(agent.process, () => {
         if (!isOpen.agent || !agent.isUp) return
-        lastSeen.agent = agentNow()
+        receivedAt.agent = agentNow()
         agent.host.onFrame(entry.incarnation, toEntry, frame)
       })
     }
-    const link: AgentLink = { add: toAgent, acknowledge: (seq) => { acked = seq }, close: () => { closeEntry() } }
-    const closeAgent = (): void => {
+    const link: AgentLink = { add: toAgent, acknowledge: (seq) => { acknowledgedSeq = seq }, close: () => { closeAtEntry() } }
+    const closeAtAgent = (): void => {
       if (!isOpen.agent) return
       isOpen.agent = false
       agent.host.closeSession(entry.incarnation, toEntry)
     }
-    const closeEntry = (): void => {
+    const closeAtEntry = (): void => {
       if (!isOpen.entry) return
       isOpen.entry = false
       entry.dispatcher.sessions.closed(handle, link)
@@ -289,25 +306,25 @@
     const handle = entry.dispatcher.sessions.open(create(HelloSchema, { agentId: `a${pair.agent}`, incarnation: agent.incarnation, zone: this.zoneOf(pair.agent) }), link)
     agent.host.openSession(entry.incarnation, toEntry)
     const close = (): void => {
-      agent.process.run(closeAgent)
-      entry.process.run(closeEntry)
+      agent.process.run(closeAtAgent)
+      entry.process.run(closeAtEntry)
     }
-    const redial = (): void => {
-      // One that was dropped has been replaced already.
+    const redialLater = (): void => {
+      // A connection that was dropped is unset already, and may have a successor.
       this.clock.after(REDIAL_MS, () => { if (pair.close === close) pair.close = undefined })
     }
-    const keepAlive = (): void => {
-      if (!isOpen.agent && !isOpen.entry) return redial()
-      if (!pair.isCut) for (const fn of held.splice(0)) fn()
-      const isAgentAwake = !agent.process.isPaused
-      const isEntryAwake = !entry.process.isPaused
-      if (isAgentAwake && agentNow() - lastSeen.agent > SESSION_TIMEOUT_MS) closeAgent()
-      if (isEntryAwake && entryNow() - lastSeen.entry > SESSION_TIMEOUT_MS) closeEntry()
-      if (!isOpen.agent && !pair.isCut && isEntryAwake) closeEntry()
-      if (!isOpen.entry && !pair.isCut && isAgentAwake) closeAgent()
-      if (!isOpen.agent && !isOpen.entry) return redial()
-      if (isAgentAwake) toEntry(() => {})
-      this.clock.after(KEEP_ALIVE_MS, keepAlive)
+    const checkConnection = (): void => {
+      if (!isOpen.agent && !isOpen.entry) return redialLater()
+      if (!pair.isCut) for (const fn of delayed.splice(0)) fn()
+      const isAgentRunning = !agent.process.isPaused
+      const isEntryRunning = !entry.process.isPaused
+      if (isAgentRunning && agentNow() - receivedAt.agent > SESSION_TIMEOUT_MS) closeAtAgent()
+      if (isEntryRunning && entryNow() - receivedAt.entry > SESSION_TIMEOUT_MS) closeAtEntry()
+      if (!isOpen.agent && !pair.isCut && isEntryRunning) closeAtEntry()
+      if (!isOpen.entry && !pair.isCut && isAgentRunning) closeAtAgent()
+      if (!isOpen.agent && !isOpen.entry) return redialLater()
+      if (isAgentRunning) toEntry(() => {})
+      this.clock.after(KEEP_ALIVE_MS, checkConnection)
     }
     const keepEntryAlive = (): void => {
       if (!isOpen.entry) return
@@ -317,6 +334,6 @@
     }
     entry.process.after(ENTRY_KEEP_ALIVE_MS, keepEntryAlive)
     pair.close = close
-    keepAlive()
+    checkConnection()
   }
 }
--- a/packages/coordination/tests/leased/simulateQueueBurst.ts
+++ b/packages/coordination/tests/leased/simulateQueueBurst.ts
@@ -8,74 +8,80 @@
 import { LeasedQueue } from '../../src/leased/leasedQueue.js'
 import { LoadRecord } from '../../src/leased/loadRecord.js'
 
-/** A queue of the replay; work in ms of one slot. */
+/** The jobs of one queue. */
 interface QueueWorkload {
   priority: number
+  /** Tasks of a job; each occupies one slot for `runMs`. */
   tasks: number
   runMs: number
+  /** Jobs that arrive per second without a burst. */
   perSecond: number
 }
 
-/** Short jobs go first, long ones last; without a burst they ask for three quarters of the slots. */
-const KINDS: QueueWorkload[] = [
+/** Short jobs have priority over long ones; without a burst all queues together need three quarters of the slots. */
+const WORKLOADS: QueueWorkload[] = [
   { priority: 0, tasks: 8, runMs: 86, perSecond: 72 },
   { priority: 1, tasks: 2, runMs: 286, perSecond: 212 },
   { priority: 2, tasks: 4, runMs: 1286, perSecond: 13.2 }
 ]
-const BURST = { from: 3000, to: 9000, x: 3.4, priority: 2 }
-const LENGTH_MS = 11_000
+/** During the burst the jobs of one queue arrive `rateFactor` times as often. */
+const BURST = { startMs: 3000, endMs: 9000, rateFactor: 3.4, priority: 2 }
+const DURATION_MS = 11_000
 const SLOTS = 320
 const STEP_MS = 2.5
 const SWEEP_MS = 25
 const SLOT = { cpuMilli: 1000, memoryMb: 1 }
 
-/** What came of one queue during the burst. */
+/** The jobs of one queue that arrived during the burst. */
 export interface QueueOutcome {
   arrived: number
+  /** Those that completed before they were due. */
   inTime: number
 }
 
-/** What the replay shows. */
+/** Result of a simulation. */
 export interface BurstResult {
+  /** By priority. */
   queues: Map<number, QueueOutcome>
-  /** Moments at which slots were free while a job waited after all had looked. */
+  /** Sweeps after which slots were free although a job waited. */
   idleSweeps: number
 }
 
 interface Entry {
   queue: LeasedQueue
   load: LoadRecord
-  servedAt: number
+  /** Number of the start that this entry got last; 0 before the first. */
+  lastStart: number
 }
 
-/** Entries that share slots and hear nothing of each other, without a network. */
+/** Simulates entries that share slots and exchange no load reports, without agents and a network. */
 class BurstSimulation {
   private now = 0
-  private free = SLOTS
+  private freeSlots = SLOTS
   private readonly random: Random
   private readonly entries: Entry[]
-  private readonly ends: Array<{ at: number, job: LeasedJob }> = []
-  private readonly result: BurstResult = { queues: new Map(KINDS.map(({ priority }) => [priority, { arrived: 0, inTime: 0 }])), idleSweeps: 0 }
-  private jobs = 0
-  private serves = 0
+  private readonly runs: Array<{ endsAt: number, job: LeasedJob }> = []
+  private readonly result: BurstResult = { queues: new Map(WORKLOADS.map(({ priority }) => [priority, { arrived: 0, inTime: 0 }])), idleSweeps: 0 }
+  private jobCount = 0
+  private startCount = 0
 
-  constructor (entries: number, private readonly shares: Shares, seed: number) {
+  constructor (entryCount: number, private readonly shares: Shares, seed: number) {
     this.random = seededRandom(seed)
-    this.entries = Array.from({ length: entries }, () => ({ queue: new LeasedQueue(POLICY.order), load: new LoadRecord(() => this.now), servedAt: 0 }))
+    this.entries = Array.from({ length: entryCount }, () => ({ queue: new LeasedQueue(POLICY.order), load: new LoadRecord(() => this.now), lastStart: 0 }))
   }
 
-  play (): BurstResult {
-    for (; this.now < LENGTH_MS; this.now += STEP_MS) {
+  simulate (): BurstResult {
+    for (; this.now < DURATION_MS; this.now += STEP_MS) {
       this.endRuns()
-      for (const kind of KINDS) this.arrive(kind)
-      this.startAll()
+      for (const workload of WORKLOADS) this.arrive(workload)
+      this.startWaiting()
       if (this.now % SWEEP_MS === 0) this.sweep()
     }
     return this.result
   }
 
   private get isBurst (): boolean {
-    return this.now >= BURST.from && this.now < BURST.to
+    return this.now >= BURST.startMs && this.now < BURST.endMs
   }
 
   private viewOf ({ load }: Entry): LoadView {
@@ -83,15 +89,15 @@
     return { servedMilli, queues: this.shares(servedMilli, load.queues) }
   }
 
-  private arrive (kind: QueueWorkload): void {
-    const rate = kind.perSecond * (this.isBurst && kind.priority === BURST.priority ? BURST.x : 1)
-    if (this.random() < rate * STEP_MS / 1000) this.submit(kind, this.entries[Math.floor(this.random() * this.entries.length)]!)
+  private arrive (workload: QueueWorkload): void {
+    const rate = workload.perSecond * (this.isBurst && workload.priority === BURST.priority ? BURST.rateFactor : 1)
+    if (this.random() < rate * STEP_MS / 1000) this.submit(workload, this.entries[Math.floor(this.random() * this.entries.length)]!)
   }
 
   private submit ({ priority, tasks, runMs }: QueueWorkload, entry: Entry): void {
     const job = createLeasedJob({
       workspace: 'w',
-      id: `j${this.jobs++}`,
+      id: `j${this.jobCount++}`,
       requestId: '',
       service: 's',
       payload: '',
@@ -112,14 +118,14 @@
     entry.queue.add(job)
   }
 
-  /** The free slots go one by one to the entry whose first job competes best, as an agent offers them. */
-  private startAll (): void {
-    while (this.free > 0) {
-      const wanting = this.entries.filter(({ queue }) => queue.size > 0)
+  /** Gives the free slots one by one to the entry whose first job has the best priority, as agents offer free capacity. */
+  private startWaiting (): void {
+    while (this.freeSlots > 0) {
+      const waiting = this.entries.filter(({ queue }) => queue.size > 0)
         .map((entry) => ({ entry, priority: entry.queue.wantingPriority(this.now, this.viewOf(entry))! }))
-        .sort((a, b) => a.priority - b.priority || a.entry.servedAt - b.entry.servedAt)
-      if (wanting.length === 0) return
-      this.start(wanting[0]!.entry)
+        .sort((a, b) => a.priority - b.priority || a.entry.lastStart - b.entry.lastStart)
+      if (waiting.length === 0) return
+      this.start(waiting[0]!.entry)
     }
   }
 
@@ -127,21 +133,21 @@
     const job = entry.queue.inOrder(this.now, this.viewOf(entry))[0]!
     job.queue.pop()
     job.mayHaveRun++
-    entry.servedAt = ++this.serves
-    this.free--
+    entry.lastStart = ++this.startCount
+    this.freeSlots--
     entry.load.onStarted(job.priority, job.need.cpuMilli * job.expectedMs)
-    this.ends.push({ at: this.now + job.expectedMs, job })
+    this.runs.push({ endsAt: this.now + job.expectedMs, job })
     if (job.queue.length === 0) entry.queue.remove(job)
   }
 
   private endRuns (): void {
-    for (let index = this.ends.length - 1; index >= 0; index--) {
-      const { at, job } = this.ends[index]!
-      if (at > this.now) continue
-      this.ends.splice(index, 1)
-      this.free++
+    for (let index = this.runs.length - 1; index >= 0; index--) {
+      const { endsAt, job } = this.runs[index]!
+      if (endsAt > this.now) continue
+      this.runs.splice(index, 1)
+      this.freeSlots++
       job.doneCount++
-      const arrivedInBurst = job.arrivedAt >= BURST.from && job.arrivedAt < BURST.to
+      const arrivedInBurst = job.arrivedAt >= BURST.startMs && job.arrivedAt < BURST.endMs
       if (arrivedInBurst && job.doneCount === job.count && this.now <= job.dueAt) this.result.queues.get(job.priority)!.inTime++
     }
   }
@@ -156,15 +162,15 @@
         queue.remove(job)
       }
     }
-    if (this.free > 0 && this.entries.some(({ queue }) => queue.size > 0)) this.result.idleSweeps++
+    if (this.freeSlots > 0 && this.entries.some(({ queue }) => queue.size > 0)) this.result.idleSweeps++
   }
 }
 
 /**
- * Plays a burst of the last queue.
+ * Simulates a burst of jobs in the queue of lowest priority.
  *
- * @param entries - how many share the slots
- * @param shares - decides what is kept for each queue
- * @param seed - of arrivals
+ * @param entryCount - number of entries that share the slots
+ * @param shares - decides which part of the slots is reserved for each queue
+ * @param seed - of the arrivals
  */
-export const simulateQueueBurst = (entries: number, shares: Shares, seed: number): BurstResult => new BurstSimulation(entries, shares, seed).play()
+export const simulateQueueBurst = (entryCount: number, shares: Shares, seed: number): BurstResult => new BurstSimulation(entryCount, shares, seed).simulate()
--- a/packages/coordination/tests/leased/unverifiedLeases.test.ts
+++ b/packages/coordination/tests/leased/unverifiedLeases.test.ts
@@ -12,33 +12,37 @@
 import { CAPACITY } from './fakeEndpoint.js'
 import { LEASE_TIMES } from './leasedNetwork.js'
 
-const settle = async (): Promise<void> => { for (let i = 0; i < 4; i++) await new Promise((resolve) => setImmediate(resolve)) }
+/** Runs pending callbacks and promises without advancing the clock. */
+const flushPromises = async (): Promise<void> => { for (let i = 0; i < 4; i++) await new Promise((resolve) => setImmediate(resolve)) }
 
-interface Pending<Order, Outcome> {
+/** A call that a test has not answered yet. */
+interface PendingCall<Order, Outcome> {
   order: Order
   answer: (outcome: Outcome) => void
 }
 
-/** An agent's host whose endpoint answers when a test says so. */
+/** An agent's host whose endpoint answers each call only when the test answers it, and never answers stops. */
 class HostFixture {
-  readonly starts: Array<Pending<StartOrder, StartOutcome>> = []
-  readonly holds: Array<Pending<HoldOrder, HoldOutcome>> = []
-  readonly told: string[] = []
-  private readonly world = createFakeClock()
-  private readonly process = new ProcessClock(this.world)
+  readonly starts: Array<PendingCall<StartOrder, StartOutcome>> = []
+  readonly polls: Array<PendingCall<HoldOrder, HoldOutcome>> = []
+  /** Tasks with the reason or outcome that was reported of them. */
+  readonly results: string[] = []
+  private readonly referenceClock = createFakeClock()
+  private readonly process = new ProcessClock(this.referenceClock)
   private readonly host = new LeasedHost({
     clock: this.process,
     zone: 'z',
     times: LEASE_TIMES,
     holdWaitMs: 100,
     log: () => {},
-    observe: ({ key, reason, outcome }) => this.told.push(`${key!.submission} ${reason || outcome}`)
+    observe: ({ key, reason, outcome }) => this.results.push(`${key!.submission} ${reason || outcome}`)
   })
 
   private readonly add = (change: (frame: AgentFrame) => void): void => change(create(AgentFrameSchema))
 
-  async begin (...entries: string[]): Promise<void> {
-    this.world.advance(1000)
+  /** Announces the endpoint, and opens sessions with these entries. */
+  async connect (...entries: string[]): Promise<void> {
+    this.referenceClock.advance(1000)
     this.host.setEndpoint({
       service: 's',
       incarnation: 'i',
@@ -47,113 +51,116 @@
       endpoint: {
         start: (order) => new Promise((resolve) => { this.starts.push({ order, answer: resolve }) }),
         stop: () => new Promise(() => {}),
-        hold: (order) => new Promise((resolve) => { this.holds.push({ order, answer: resolve }) })
+        hold: (order) => new Promise((resolve) => { this.polls.push({ order, answer: resolve }) })
       }
     })
-    await this.answerHold({ type: 'held', running: [], ended: [] })
+    await this.answerPoll({ type: 'held', running: [], ended: [] })
     for (const entry of entries) this.host.openSession(entry, this.add)
   }
 
-  async answerHold (outcome: HoldOutcome): Promise<void> {
-    this.holds.shift()!.answer(outcome)
-    await settle()
+  async answerPoll (outcome: HoldOutcome): Promise<void> {
+    this.polls.shift()!.answer(outcome)
+    await flushPromises()
   }
 
-  /** A frame with a fresh echo, and a start of one task if one is named. */
-  async frame (entry: string, submission?: string, cpuMilli = 1000): Promise<void> {
-    const start = submission === undefined ? [] : [create(LeasedStartSchema, { submission, tasks: [{ index: 0, attempt: 0 }], need: { cpuMilli, memoryMb: 1 }, waitMs: 20, expectedMs: 100 })]
-    this.host.onFrame(entry, this.add, create(EntryFrameSchema, { echoStampMs: this.process.now(), leasedStarts: start }))
-    await settle()
+  /** Receives a frame of an entry with an echo of the current time, and a start of one task if a submission is given. */
+  async receiveFrame (entry: string, submission?: string, cpuMilli = 1000): Promise<void> {
+    const starts = submission === undefined ? [] : [create(LeasedStartSchema, { submission, tasks: [{ index: 0, attempt: 0 }], need: { cpuMilli, memoryMb: 1 }, waitMs: 20, expectedMs: 100 })]
+    this.host.onFrame(entry, this.add, create(EntryFrameSchema, { echoStampMs: this.process.now(), leasedStarts: starts }))
+    await flushPromises()
   }
 
   pass (ms: number): void {
-    this.world.advance(ms)
+    this.referenceClock.advance(ms)
   }
 
-  /** Nothing of the process is carried out meanwhile, nor at its end. */
+  /** Suspends the process, and advances time without resuming its timers. */
   suspend (ms: number): void {
     this.process.suspend(ms)
-    this.world.advance(ms)
+    this.referenceClock.advance(ms)
   }
 
+  /** Submissions whose starts were ordered at the endpoint. */
   get ordered (): string[] {
     return this.starts.map(({ order }) => order.submission)
   }
 }
 
 describe('an agent that was suspended', () => {
-  it('starts nothing that waited for room meanwhile, also if room comes first', async () => {
+  it('refuses a start that waited for free capacity, though capacity becomes free before it reads a frame', async () => {
     const fixture = new HostFixture()
-    await fixture.begin('e')
-    await fixture.frame('e', 'first', CAPACITY.cpuMilli)
+    await fixture.connect('e')
+    await fixture.receiveFrame('e', 'first', CAPACITY.cpuMilli)
     fixture.starts[0]!.answer({ type: 'started' })
-    await settle()
-    await fixture.frame('e', 'second')
+    await flushPromises()
+    await fixture.receiveFrame('e', 'second')
     fixture.suspend(3000)
-    await fixture.answerHold({ type: 'held', running: [], ended: [{ seq: 1, submission: 'first', index: 0, run: fixture.starts[0]!.order.run, how: RUN_ENDS.done }] })
+    await fixture.answerPoll({ type: 'held', running: [], ended: [{ seq: 1, submission: 'first', index: 0, run: fixture.starts[0]!.order.run, how: RUN_ENDS.done }] })
     expect(fixture.ordered).toEqual(['first'])
-    expect(fixture.told).toContain(`second ${REASONS.staleStart}`)
+    expect(fixture.results).toContain(`second ${REASONS.staleStart}`)
   })
 
-  it('starts nothing for one entry while it holds on nothing for another one', async () => {
+  it('starts no task of an entry while the lease of another entry with running tasks is unverified', async () => {
     const fixture = new HostFixture()
-    await fixture.begin('a', 'b')
-    await fixture.frame('a', 'first')
-    await fixture.frame('b')
+    await fixture.connect('a', 'b')
+    await fixture.receiveFrame('a', 'first')
+    await fixture.receiveFrame('b')
     fixture.suspend(300)
-    await fixture.frame('b')
+    await fixture.receiveFrame('b')
     fixture.pass(5)
-    await fixture.frame('b', 'second')
+    await fixture.receiveFrame('b', 'second')
     expect(fixture.ordered).toEqual(['first'])
-    await fixture.frame('a')
-    await fixture.frame('b', 'third')
+    await fixture.receiveFrame('a')
+    await fixture.receiveFrame('b', 'third')
     expect(fixture.ordered).toEqual(['first', 'second', 'third'])
   })
 
-  it('orders no start again that was not answered', async () => {
+  it('does not repeat an unanswered start', async () => {
     const fixture = new HostFixture()
-    await fixture.begin('e')
-    await fixture.frame('e', 'first')
+    await fixture.connect('e')
+    await fixture.receiveFrame('e', 'first')
     fixture.suspend(300)
     fixture.starts[0]!.answer({ type: 'unknown' })
-    await settle()
+    await flushPromises()
     expect(fixture.ordered).toEqual(['first'])
   })
 
-  it('looks without holding on until an entry has answered anew', async () => {
+  it('polls without renewing the run lease until the entry echoes a new timestamp', async () => {
     const fixture = new HostFixture()
-    await fixture.begin('e')
-    await fixture.frame('e', 'first')
+    await fixture.connect('e')
+    await fixture.receiveFrame('e', 'first')
     fixture.starts[0]!.answer({ type: 'started' })
-    await settle()
+    await flushPromises()
     fixture.pass(10)
     fixture.suspend(300)
     const run = { submission: 'first', index: 0, run: fixture.starts[0]!.order.run }
-    const next = async (): Promise<HoldOrder> => {
-      await fixture.answerHold({ type: 'held', running: [run], ended: [] })
+    const nextPoll = async (): Promise<HoldOrder> => {
+      await fixture.answerPoll({ type: 'held', running: [run], ended: [] })
       fixture.pass(5)
-      await settle()
-      return fixture.holds[0]!.order
+      await flushPromises()
+      return fixture.polls[0]!.order
     }
-    expect(await next()).toMatchObject({ holdMs: undefined, waitMs: 25 })
+    expect(await nextPoll()).toMatchObject({ holdMs: undefined, waitMs: 25 })
     fixture.pass(1)
-    await fixture.frame('e')
-    expect(await next()).toMatchObject({ holdMs: LEASE_TIMES.holdMs, waitMs: 100 })
+    await fixture.receiveFrame('e')
+    expect(await nextPoll()).toMatchObject({ holdMs: LEASE_TIMES.holdMs, waitMs: 100 })
   })
 })
 
-/** An entry's sessions with one agent. */
+/** An entry's session with one agent, to which one task was sent. The agent's clock is 700 ms ahead. */
 class EntryFixture {
-  closed = 0
+  /** How often the entry has closed its session. */
+  closeCount = 0
   readonly process: ProcessClock
-  readonly lost: string[] = []
-  private readonly world = createFakeClock()
+  /** Reasons with which tasks were reported as lost. */
+  readonly lossReasons: string[] = []
+  private readonly referenceClock = createFakeClock()
   private readonly sessions: LeasedSessions
-  private readonly link = { add: () => {}, acknowledge: () => {}, close: () => { this.closed++ } }
+  private readonly link = { add: () => {}, acknowledge: () => {}, close: () => { this.closeCount++ } }
   readonly agent: ReturnType<LeasedSessions['open']>
 
   constructor () {
-    this.process = new ProcessClock(this.world)
+    this.process = new ProcessClock(this.referenceClock)
     const fleet = new LeasedFleet({ clock: this.process, random: seededRandom(1), zone: 'z', setAsideShare: 0.4, setAsideBackoff: () => 1000 })
     this.sessions = new LeasedSessions({
       clock: this.process,
@@ -163,20 +170,21 @@
       events: { agentChanged: () => {}, agentLost: () => {}, configSeen: () => {}, evacuationsChanged: () => {} },
       onResult: () => {},
       onNotStarted: () => {},
-      onLost: (_agent, _sent, reason) => this.lost.push(reason),
+      onLost: (_agent, _sent, reason) => this.lossReasons.push(reason),
       schedule: () => {}
     })
-    this.world.advance(1000)
+    this.referenceClock.advance(1000)
     this.agent = this.sessions.open(create(HelloSchema, { agentId: 'a', incarnation: 'i', zone: 'z' }), this.link)
-    this.hear()
+    this.receiveFrame()
     this.agent.sent.set('task', { job: undefined as never, index: 0, attempt: 0, sentAt: 1000, life: '' })
   }
 
-  hear (): void {
-    this.sessions.onFrame(this.agent, this.link, create(AgentFrameSchema, { stampMs: 700 + this.world.now() }))
+  /** Receives a frame of the agent. */
+  receiveFrame (): void {
+    this.sessions.onFrame(this.agent, this.link, create(AgentFrameSchema, { stampMs: 700 + this.referenceClock.now() }))
   }
 
-  /** What a frame that leaves now echoes. */
+  /** The timestamp that a frame sent now echoes; 0 if none. */
   get echo (): number {
     const frame: EntryFrame = create(EntryFrameSchema)
     this.sessions.stamp(this.agent, frame)
@@ -188,70 +196,70 @@
   }
 
   pass (ms: number): void {
-    this.world.advance(ms)
+    this.referenceClock.advance(ms)
   }
 }
 
-describe('an entry that stood still', () => {
-  const cases: Array<{ name: string, act: (fixture: EntryFixture) => void, echoes: boolean, closed: number, lost: number }> = [
-    { name: 'not at all', act: (fixture) => fixture.hear(), echoes: true, closed: 0, lost: 0 },
+describe('an entry whose process was paused', () => {
+  const cases: Array<{ name: string, act: (fixture: EntryFixture) => void, echoes: boolean, closeCount: number, lostCount: number }> = [
+    { name: 'no pause', act: (fixture) => fixture.receiveFrame(), echoes: true, closeCount: 0, lostCount: 0 },
     {
-      name: 'suspended, and a frame is about to leave',
+      name: 'suspended, then sends a frame',
       act: ({ process }) => process.suspend(300),
       echoes: false,
-      closed: 1,
-      lost: 0
+      closeCount: 1,
+      lostCount: 0
     },
     {
-      name: 'suspended, and reads a frame',
+      name: 'suspended, then reads a frame',
       act: (fixture) => {
         fixture.process.suspend(300)
         fixture.pass(300)
-        fixture.hear()
+        fixture.receiveFrame()
       },
       echoes: false,
-      closed: 1,
-      lost: 0
+      closeCount: 1,
+      lostCount: 0
     },
     {
-      name: 'suspended, and looks at the time',
+      name: 'suspended, then sweeps',
       act: (fixture) => {
         fixture.process.suspend(30_000)
         fixture.pass(30_000)
         fixture.sweep()
       },
       echoes: false,
-      closed: 1,
-      lost: 0
+      closeCount: 1,
+      lostCount: 0
     },
     {
-      name: 'frozen for longer than the bound, and reads a frame',
+      name: 'frozen for longer than the termination bound, then reads a frame',
       act: (fixture) => {
         fixture.pass(1200)
-        fixture.hear()
+        fixture.receiveFrame()
       },
       echoes: false,
-      closed: 1,
-      lost: 1
+      closeCount: 1,
+      lostCount: 1
     },
     {
-      name: 'frozen for less than the bound, and reads a frame',
+      name: 'frozen for less than the termination bound, then reads a frame',
       act: (fixture) => {
         fixture.pass(1100)
-        fixture.hear()
+        fixture.receiveFrame()
       },
       echoes: true,
-      closed: 0,
-      lost: 0
+      closeCount: 0,
+      lostCount: 0
     }
   ]
-  it.each(cases)('$name', ({ act, echoes, closed, lost }) => {
+  it.each(cases)('$name: sessions closed $closeCount, tasks lost $lostCount, echoes afterwards $echoes', ({ act, echoes, closeCount, lostCount }) => {
     const fixture = new EntryFixture()
     expect(fixture.echo).toBeGreaterThan(0)
     act(fixture)
     fixture.pass(300)
     expect(fixture.echo > 0).toBe(echoes)
-    expect(fixture.closed).toBe(closed)
-    expect(fixture.lost).toHaveLength(lost)
+    expect(fixture.closeCount).toBe(closeCount)
+    expect(fixture.lossReasons).toHaveLength(lostCount)
   })
 })
--- a/packages/coordination/tests/processClock.ts
+++ b/packages/coordination/tests/processClock.ts
@@ -1,12 +1,15 @@
 import type { Clock } from '@hazellift/common'
 
-/** What the time since the system's start tells of a suspension. */
-export type BootClock = 'none' | 'true' | 'steady'
+/**
+ * How the time since the system's start behaves on the host of a process: it cannot be
+ * read, counts suspensions, or shows none, like the steady clock.
+ */
+export type BootClock = 'unavailable' | 'counts_suspensions' | 'misses_suspensions'
 
 /**
- * The clock of one process, driven by the world's: the process may stand still, with
- * its steady clock counting the time (frozen) or not (suspended), and its time of day
- * may be set.
+ * The clock of one simulated process, derived from a clock that counts all time. The
+ * process can be paused in two ways: suspended, which its steady clock does not count,
+ * or frozen, which it does. The wall clock can be set independently.
  */
 export class ProcessClock implements Clock {
   private suspendedMs = 0
@@ -15,22 +18,22 @@
   private wallOffsetMs = 0
 
   /**
-   * @param referenceClock - counts all the time
-   * @param bootClock - what the time since the system's start tells
+   * @param referenceClock - counts all time, shared by all processes of a test
+   * @param bootClock - how the time since the system's start behaves
    */
-  constructor (private readonly referenceClock: Clock, private readonly bootClock: BootClock = 'none') {}
+  constructor (private readonly referenceClock: Clock, private readonly bootClock: BootClock = 'unavailable') {}
 
   now = (): number => Math.max(this.suspendedAt, this.referenceClock.now() - this.suspendedMs)
   wallNow = (): number => Math.floor(this.referenceClock.now() + this.wallOffsetMs)
-  bootNow = (): number | undefined => this.bootClock === 'none' ? undefined : this.bootClock === 'true' ? this.referenceClock.now() : this.now()
+  bootNow = (): number | undefined => this.bootClock === 'unavailable' ? undefined : this.bootClock === 'counts_suspensions' ? this.referenceClock.now() : this.now()
 
-  /** A timer counts steady time. */
+  /** Timers count steady time, and fire only while the process is not paused. */
   after = (ms: number, fn: () => void): (() => void) => {
-    const at = this.now() + ms
+    const dueAt = this.now() + ms
     let cancel = (): void => {}
     const check = (): void => {
-      const leftMs = Math.max(this.pausedUntil - this.referenceClock.now(), at - this.now())
-      if (leftMs > 0) cancel = this.referenceClock.after(leftMs, check)
+      const remainingMs = Math.max(this.pausedUntil - this.referenceClock.now(), dueAt - this.now())
+      if (remainingMs > 0) cancel = this.referenceClock.after(remainingMs, check)
       else fn()
     }
     cancel = this.referenceClock.after(ms, check)
@@ -39,37 +42,37 @@
 
   sleep = (ms: number): Promise<void> => new Promise((resolve) => { this.after(ms, resolve) })
 
-  /** True while nothing of the process is carried out. */
+  /** True while the process is suspended or frozen and executes nothing. */
   get isPaused (): boolean {
     return this.referenceClock.now() < this.pausedUntil
   }
 
-  /** Carries something out, now or once the process goes on. */
+  /** Calls `fn` now, or when the process resumes. */
   run (fn: () => void): void {
     if (this.isPaused) this.referenceClock.after(this.pausedUntil - this.referenceClock.now(), () => this.run(fn))
     else fn()
   }
 
-  /** What arrives from outside is read once the process goes on. */
+  /** Resolves to a value from outside the process, which a paused process reads only when it resumes. */
   async receive<T> (value: Promise<T>): Promise<T> {
     const result = await value
     if (this.isPaused) await new Promise<void>((resolve) => { this.run(resolve) })
     return result
   }
 
-  /** Stands still; the steady clock does not count it. */
+  /** Pauses the process; its steady clock does not count the pause. */
   suspend (ms: number): void {
     this.suspendedAt = this.now()
     this.pausedUntil = Math.max(this.pausedUntil, this.referenceClock.now()) + ms
     this.suspendedMs += ms
   }
 
-  /** Stands still; the steady clock counts it. */
+  /** Pauses the process; its steady clock counts the pause. */
   freeze (ms: number): void {
     this.pausedUntil = Math.max(this.pausedUntil, this.referenceClock.now() + ms)
   }
 
-  /** Sets the time of day, ahead or back. */
+  /** Sets the wall clock ahead, or back if `ms` is negative. */
   stepWallClock (ms: number): void {
     this.wallOffsetMs += ms
   }
