--- a/packages/coordination/src/leased/endpointLife.test.ts
+++ b/packages/coordination/src/leased/endpointLife.test.ts
@@ -12,7 +12,7 @@
 /** How finely the tests move time on; a fake endpoint ends its runs this often. */
 const STEP_MS = 5
 
-type Call = 'start' | 'stop' | 'hold'
+type Call = 'start' | 'stop' | 'poll'
 
 /** Settles what is ready without moving the clock. */
 const settle = async (): Promise<void> => { for (let i = 0; i < 4; i++) await new Promise((resolve) => setImmediate(resolve)) }
@@ -115,7 +115,7 @@
     const task = start('a')
     await advance(100)
     let lost = 0
-    endpoint.fault = (call) => call === 'hold' && lost++ === 0 ? 'lost' : 'none'
+    endpoint.fault = (call) => call === 'poll' && lost++ === 0 ? 'lost' : 'none'
     await advance(200)
     // The run began after the first copy's time limit.
     expect(task.told?.at).toBeLessThanOrEqual(CALL_LIMIT_MS + 100 + 35 + STEP_MS)
@@ -130,7 +130,7 @@
     const task = start('a')
     await advance(1000)
     let lost = 0
-    endpoint.fault = (call) => call === 'hold' && lost++ < 2 ? 'lost' : 'none'
+    endpoint.fault = (call) => call === 'poll' && lost++ < 2 ? 'lost' : 'none'
     await advance(3000)
     expect(lost).toBeGreaterThan(2)
     expect(task.told?.type).toBe('ended')
@@ -141,11 +141,11 @@
     const task = start('a')
     await advance(100)
     endpoint.fault = () => 'lost'
-    const before = endpoint.calls.hold
+    const before = endpoint.calls.poll
     await advance(16_000)
     expect(task.told).toEqual({ type: 'lost', at: expect.any(Number) })
     expect(task.told!.at).toBeLessThanOrEqual(100 + 1100)
-    expect(endpoint.calls.hold - before).toBeLessThan(60)
+    expect(endpoint.calls.poll - before).toBeLessThan(60)
   })
 
   it('stops of starts that a silent endpoint left unanswered wait until it answers, and are sent then', async () => {
--- a/packages/coordination/tests/leased/ephemeralJobs.test.ts
+++ b/packages/coordination/tests/leased/ephemeralJobs.test.ts
@@ -120,7 +120,7 @@
         network.killAgent(0)
       }
     },
-    { name: 'an endpoint leaves polls unanswered', act: (network) => { network.endpoints[0]!.fault = (call) => call === 'hold' ? 'lost' : 'none' } }
+    { name: 'an endpoint leaves polls unanswered', act: (network) => { network.endpoints[0]!.fault = (call) => call === 'poll' ? 'lost' : 'none' } }
   ]
 
   it.each(faults)('$name: the job completes, and no two runs of a task overlap', async ({ act }) => {
@@ -163,10 +163,10 @@
     expect(overlappingRuns(network.endpoints)).not.toEqual([])
   })
 
-  const orderFaults: Array<{ call: 'start' | 'stop' | 'hold', fault: CallFault }> = [
+  const orderFaults: Array<{ call: 'start' | 'stop' | 'poll', fault: CallFault }> = [
     { call: 'start', fault: 'lost' }, { call: 'start', fault: 'answer_lost' }, { call: 'start', fault: 'late' },
     { call: 'stop', fault: 'lost' }, { call: 'stop', fault: 'answer_lost' }, { call: 'stop', fault: 'late' },
-    { call: 'hold', fault: 'answer_lost' }
+    { call: 'poll', fault: 'answer_lost' }
   ]
   it.each(orderFaults)('every third $call has the fault $fault: jobs complete, no two runs of a task overlap, and no endpoint exceeds its capacity', async ({ call, fault }) => {
     const network = await startNetwork(2, 3)
@@ -180,8 +180,8 @@
     for (const endpoint of network.endpoints) expect(endpoint.peakCpuMilli).toBeLessThanOrEqual(CAPACITY.cpuMilli)
   })
 
-  const unanswered: Array<{ name: string, call: 'start' | 'stop' | 'hold' | 'all' }> = [
-    { name: 'no poll', call: 'hold' }, { name: 'no start', call: 'start' }, { name: 'no call at all', call: 'all' }
+  const unanswered: Array<{ name: string, call: 'start' | 'stop' | 'poll' | 'all' }> = [
+    { name: 'no poll', call: 'poll' }, { name: 'no start', call: 'start' }, { name: 'no call at all', call: 'all' }
   ]
   it.each(unanswered)('an endpoint that answered $name for 4 s runs jobs again afterwards', async ({ call }) => {
     const network = await startNetwork(1, 1)
--- a/packages/coordination/tests/leased/fakeEndpoint.ts
+++ b/packages/coordination/tests/leased/fakeEndpoint.ts
@@ -66,7 +66,7 @@
   announcedCpuMilli = Infinity
   /** Starts that made the runs exceed the announced capacity. */
   readonly startsOverCapacity: string[] = []
-  fault: (call: 'start' | 'stop' | 'hold') => CallFault = () => 'none'
+  fault: (call: 'start' | 'stop' | 'poll') => CallFault = () => 'none'
   /** Duration of the runs that start from now on. */
   runMs = 100
   /** Runs end as failed. */
@@ -82,7 +82,7 @@
   private isDown = false
 
   /** Number of calls so far, by kind. */
-  readonly calls = { start: 0, stop: 0, hold: 0 }
+  readonly calls = { start: 0, stop: 0, poll: 0 }
 
   constructor (private readonly clock: Clock, readonly cpuMilliOf: (submission: string) => number, private readonly callLimitMs = CALL_LIMIT_MS) {}
 
@@ -91,7 +91,7 @@
 
   hold: LeasedEndpoint['hold'] = async ({ holdMs, lastSeen, waitMs }) => {
     const leaseEndsAt = holdMs === undefined ? 0 : this.clock.now() + holdMs
-    const isAnswered = await this.call('hold', () => {
+    const isAnswered = await this.call('poll', () => {
       this.leaseEndsAt = Math.max(this.leaseEndsAt, leaseEndsAt)
       this.listedEnds = this.listedEnds.filter(({ seq }) => seq > lastSeen)
       return true
@@ -103,7 +103,7 @@
     }
     for (let waited = 0; waited < waitMs && this.listedEnds.length === 0 && !this.isDown; waited += STEP_MS) await this.clock.sleep(STEP_MS)
     // The endpoint may have crashed while the call waited for an end.
-    if (this.isDown) return this.callAfterCrash<HoldOutcome>('hold', { type: 'unknown' })
+    if (this.isDown) return this.callAfterCrash<HoldOutcome>('poll', { type: 'unknown' })
     return this.list()
   }
 
@@ -135,7 +135,7 @@
     return { type: 'held', running: [...this.running.values()].map(({ submission, index, run }) => ({ submission, index, run })), ended: [...this.listedEnds] }
   }
 
-  private async call<T> (name: 'start' | 'stop' | 'hold', act: () => T, unanswered: T): Promise<T> {
+  private async call<T> (name: 'start' | 'stop' | 'poll', act: () => T, unanswered: T): Promise<T> {
     this.calls[name]++
     if (this.isDown) return this.callAfterCrash(name, unanswered)
     const fault = this.fault(name)
@@ -146,7 +146,7 @@
     return unanswered
   }
 
-  private async callAfterCrash<T> (name: 'start' | 'stop' | 'hold', unanswered: T): Promise<T> {
+  private async callAfterCrash<T> (name: 'start' | 'stop' | 'poll', unanswered: T): Promise<T> {
     if (this.crashPlan.mode === 'hang') return new Promise(() => {})
     if (this.crashPlan.mode === 'time_out') await this.clock.sleep(this.callLimitMs)
     else if (name === 'start') return { type: 'refused', reason: REASONS.endpointRefused } as T
