--- a/packages/coordination/tests/leased/unverifiedLeases.test.ts
+++ b/packages/coordination/tests/leased/unverifiedLeases.test.ts
@@ -74,7 +74,7 @@
     this.referenceClock.advance(ms)
   }
 
-  /** Suspends the process, and advances time without resuming its timers. */
+  /** Suspends the process and advances time to the end of the suspension; none of its timers runs. */
   suspend (ms: number): void {
     this.process.suspend(ms)
     this.referenceClock.advance(ms)
