--- a/packages/coordination/tests/leased/capacityChanges.test.ts
+++ b/packages/coordination/tests/leased/capacityChanges.test.ts
@@ -19,9 +19,9 @@
 
 describe('a capacity that changes while tasks run', () => {
   const changes = [
-    { name: 'shrinks to what two running tasks use', before: 2, cpuMilli: 3200, after: 2, running: 2 },
-    { name: 'shrinks below what two running tasks use', before: 2, cpuMilli: 1700, after: 2, running: 2 },
-    { name: 'shrinks so that no task fits beside the running one', before: 1, cpuMilli: 3000, after: 2, running: 1 },
+    { name: 'shrinks to the use of two tasks', before: 2, cpuMilli: 3200, after: 2, running: 2 },
+    { name: 'shrinks below the use of two tasks', before: 2, cpuMilli: 1700, after: 2, running: 2 },
+    { name: 'shrinks, and no task fits beside one', before: 1, cpuMilli: 3000, after: 2, running: 1 },
     { name: 'shrinks to 0 while a task runs', before: 1, cpuMilli: 0, after: 1, running: 1 },
     { name: 'grows so that two more tasks fit', before: 2, cpuMilli: 6500, after: 2, running: 4 }
   ]
--- a/packages/coordination/tests/leased/endpointCrashes.test.ts
+++ b/packages/coordination/tests/leased/endpointCrashes.test.ts
@@ -36,14 +36,14 @@
 
 describe('a task that crashes every endpoint that starts it', () => {
   const cases: Array<{ name: string, crashMode: CrashMode, crashAfterMs: number, restartAfterMs: number, crashes: number }> = [
-    { name: 'crash at the start, then refused connections for 3 s', crashMode: 'refuse', crashAfterMs: 0, restartAfterMs: 3000, crashes: 2 },
-    { name: 'crash 70 ms later, then refused connections for 3 s', crashMode: 'refuse', crashAfterMs: 70, restartAfterMs: 3000, crashes: 2 },
-    { name: 'crash 20 ms later, then refused connections for 200 ms', crashMode: 'refuse', crashAfterMs: 20, restartAfterMs: 200, crashes: 2 },
-    { name: 'crash 20 ms later, then unanswered calls for 400 ms', crashMode: 'time_out', crashAfterMs: 20, restartAfterMs: 400, crashes: 2 },
-    { name: 'crash 20 ms later, then unanswered calls for 6 s', crashMode: 'time_out', crashAfterMs: 20, restartAfterMs: 6000, crashes: 5 },
-    { name: 'crash 20 ms later, then hanging calls for 500 ms', crashMode: 'hang', crashAfterMs: 20, restartAfterMs: 500, crashes: 2 }
+    { name: 'at once; refuses calls for 3 s', crashMode: 'refuse', crashAfterMs: 0, restartAfterMs: 3000, crashes: 2 },
+    { name: 'after 70 ms; refuses calls for 3 s', crashMode: 'refuse', crashAfterMs: 70, restartAfterMs: 3000, crashes: 2 },
+    { name: 'after 20 ms; refuses calls for 200 ms', crashMode: 'refuse', crashAfterMs: 20, restartAfterMs: 200, crashes: 2 },
+    { name: 'after 20 ms; calls time out for 400 ms', crashMode: 'time_out', crashAfterMs: 20, restartAfterMs: 400, crashes: 2 },
+    { name: 'after 20 ms; calls time out for 6 s', crashMode: 'time_out', crashAfterMs: 20, restartAfterMs: 6000, crashes: 5 },
+    { name: 'after 20 ms; calls hang for 500 ms', crashMode: 'hang', crashAfterMs: 20, restartAfterMs: 500, crashes: 2 }
   ]
-  it.each(cases)('$name: its job fails after $crashes crashes, and submitted again it fails at once without another crash', async ({ crashMode, crashAfterMs, restartAfterMs, crashes }) => {
+  it.each(cases)('crash $name: its job fails after $crashes crashes, and submitted again it fails at once without another crash', async ({ crashMode, crashAfterMs, restartAfterMs, crashes }) => {
     const network = await startNetwork(1, 7)
     network.setCrashPlan((submission) => crashesEndpoint(submission) ? crashAfterMs : undefined, crashMode, restartAfterMs)
     network.submit(0, 'bad', 1, PATIENT)
@@ -111,7 +111,7 @@
       act: async (network) => network.crashEndpoint(0, 300)
     },
     {
-      name: 'six of eight endpoints crash at once, twice',
+      name: 'six of eight endpoints crash, twice',
       act: async (network) => {
         for (let count = 0; count < 2; count++) {
           for (let index = 0; index < 6; index++) network.crashEndpoint(index, 300)
@@ -120,7 +120,7 @@
       }
     },
     {
-      name: 'the endpoint of one agent crashes twice',
+      name: 'an endpoint and its successor crash',
       act: async (network) => {
         for (let count = 0; count < 2; count++) {
           network.restartEndpoint(0)
@@ -129,7 +129,7 @@
       }
     },
     {
-      name: 'three agents die together with their endpoints, three times',
+      name: 'endpoints and agents die three times',
       act: async (network) => {
         for (let count = 0; count < 3; count++) {
           for (let index = 0; index < 3; index++) {
@@ -141,7 +141,7 @@
       }
     },
     {
-      name: 'endpoints drain and crash one after the other',
+      name: 'endpoints drain and crash one by one',
       act: async (network) => {
         for (let index = 0; index < 6; index++) {
           network.agents[index]!.host.drain()
--- a/packages/coordination/tests/leased/entryLeases.test.ts
+++ b/packages/coordination/tests/leased/entryLeases.test.ts
@@ -6,6 +6,7 @@
 import type { BootClock } from '../processClock.js'
 
 const ENTRY_LEASE_MS = 600
+/** Time within which an echo must verify a lease after a suspension. */
 const VERIFICATION_MS = 250
 const ENTRY = 'e'
 
@@ -71,12 +72,12 @@
 describe('an entry lease after the agent\'s clocks have diverged', () => {
   const cases: Array<{ name: string, bootClock?: BootClock, act: (fixture: LeaseFixture) => void, state: LeaseState }> = [
     { name: 'no divergence', act: () => {}, state: STATES.valid },
-    { name: 'a suspension without a boot clock', act: (fixture) => fixture.suspend(300), state: STATES.unverified },
-    { name: 'a suspension that the boot clock confirms', bootClock: 'counts_suspensions', act: (fixture) => fixture.suspend(300), state: STATES.expired },
-    { name: 'a wall clock set ahead', bootClock: 'counts_suspensions', act: ({ process }) => process.stepWallClock(60_000), state: STATES.unverified },
-    { name: 'a wall clock set back', act: ({ process }) => process.stepWallClock(-60_000), state: STATES.valid },
+    { name: 'suspension without a boot clock', act: (fixture) => fixture.suspend(300), state: STATES.unverified },
+    { name: 'suspension confirmed by the boot clock', bootClock: 'counts_suspensions', act: (fixture) => fixture.suspend(300), state: STATES.expired },
+    { name: 'wall clock set ahead', bootClock: 'counts_suspensions', act: ({ process }) => process.stepWallClock(60_000), state: STATES.unverified },
+    { name: 'wall clock set back', act: ({ process }) => process.stepWallClock(-60_000), state: STATES.valid },
     {
-      name: 'a suspension while no session with the entry is open',
+      name: 'suspension without an open session',
       act: (fixture) => {
         fixture.isOpen = false
         fixture.suspend(300)
@@ -84,7 +85,7 @@
       state: STATES.expired
     },
     {
-      name: 'a suspension, after which the session closes',
+      name: 'suspension, then the session closes',
       act: (fixture) => {
         fixture.suspend(300)
         fixture.changeSession(false)
@@ -92,7 +93,7 @@
       state: STATES.expired
     },
     {
-      name: 'a suspension, after which another session opens',
+      name: 'suspension, then a new session opens',
       act: (fixture) => {
         fixture.suspend(300)
         fixture.changeSession(true)
@@ -100,7 +101,7 @@
       state: STATES.expired
     },
     {
-      name: 'a suspension, and an echo of a timestamp from before it',
+      name: 'suspension, echo of earlier timestamp',
       act: (fixture) => {
         fixture.pass(50)
         const stampMs = fixture.now
@@ -110,7 +111,7 @@
       state: STATES.unverified
     },
     {
-      name: 'a suspension, and an echo of a timestamp from after it',
+      name: 'suspension, echo of later timestamp',
       act: (fixture) => {
         fixture.suspend(300)
         fixture.echo()
@@ -120,7 +121,7 @@
       state: STATES.valid
     },
     {
-      name: 'another suspension between a timestamp and its echo',
+      name: 'second suspension before the echo',
       act: (fixture) => {
         fixture.suspend(300)
         expect(fixture.state).toBe(STATES.unverified)
@@ -132,7 +133,7 @@
       state: STATES.unverified
     },
     {
-      name: 'a suspension, and no echo within the verification time',
+      name: 'suspension, no echo in time',
       act: (fixture) => {
         fixture.suspend(300)
         expect(fixture.state).toBe(STATES.unverified)
@@ -141,7 +142,7 @@
       state: STATES.expired
     },
     {
-      name: 'repeated suspensions, and no echo within the verification time from the first',
+      name: 'repeated suspensions, no echo in time',
       act: (fixture) => {
         for (let count = 0; count < 5; count++) {
           fixture.suspend(30)
@@ -154,7 +155,7 @@
       state: STATES.expired
     },
     {
-      name: 'a suspension, and an echo after the verification time',
+      name: 'suspension, late echo stops runs first',
       act: (fixture) => {
         fixture.suspend(300)
         expect(fixture.state).toBe(STATES.unverified)
@@ -166,7 +167,7 @@
       state: STATES.valid
     },
     {
-      name: 'a suspension, and the end of the lease within the verification time',
+      name: 'suspension, lease runs out unverified',
       act: (fixture) => {
         fixture.pass(ENTRY_LEASE_MS - 50)
         fixture.suspend(300)
@@ -176,7 +177,7 @@
       state: STATES.expired
     },
     {
-      name: 'a wall clock set ahead and back repeatedly, with an echo after each step',
+      name: 'wall clock steps, each with an echo',
       act: (fixture) => {
         for (const ms of [5000, -5000, 5000, -5000]) {
           fixture.process.stepWallClock(ms)
--- a/packages/coordination/tests/leased/ephemeralJobs.test.ts
+++ b/packages/coordination/tests/leased/ephemeralJobs.test.ts
@@ -48,7 +48,8 @@
 
   const sessions: Array<{ name: string, jobs: number, maxFrames: number }> = [
     { name: 'a session without tasks', jobs: 0, maxFrames: 15 },
-    { name: 'a session with a long task, whose entry lease needs echoes', jobs: 1, maxFrames: 25 }
+    // Frames with echoes renew the entry lease of a long task.
+    { name: 'a session with a long task', jobs: 1, maxFrames: 25 }
   ]
   it.each(sessions)('$name carries at most $maxFrames frames of the entry in 3 s', async ({ jobs, maxFrames }) => {
     const network = await startNetwork(1, 1)
@@ -95,7 +96,8 @@
       }
     },
     {
-      name: 'the link to an agent is cut for slightly longer than the termination bound',
+      // Slightly longer than the termination bound.
+      name: 'the link to an agent is cut for 1.3 s',
       act: async (network) => {
         network.cut(0, 0, true)
         await network.advance(1300)
@@ -104,7 +106,7 @@
     },
     { name: 'an endpoint crashes and restarts', act: (network) => network.restartEndpoint(0) },
     {
-      name: 'an endpoint crashes and restarts three times',
+      name: 'an endpoint crashes three times',
       act: async (network) => {
         for (let count = 0; count < 3; count++) {
           network.restartEndpoint(0)
@@ -113,7 +115,7 @@
       }
     },
     {
-      name: 'an agent dies while its endpoint restarts',
+      name: 'an endpoint restarts, its agent dies',
       act: async (network) => {
         network.restartEndpoint(0)
         await network.advance(5)
@@ -149,8 +151,8 @@
     expect(overlappingRuns(network.endpoints)).toEqual([])
   })
 
-  const violations = [{ name: 'an entry lease that outlasts the termination bound', times: { ...LEASE_TIMES, authorityMs: 5000 } }]
-  it.each(violations)('overlappingRuns detects overlaps that follow from $name', async ({ times }) => {
+  const violations = [{ name: 'an entry lease of 5 s', times: { ...LEASE_TIMES, authorityMs: 5000 } }]
+  it.each(violations)('overlappingRuns detects overlaps if the termination bound is violated by $name', async ({ times }) => {
     const network = await startNetwork(2, 2, times)
     for (const endpoint of network.endpoints) endpoint.runMs = 3000
     network.submit(0, 'j', 2)
@@ -272,12 +274,12 @@
   })
 
   const waits = [
-    { name: 'still waits after 800 ms, as its caller has time until 2 s', objectiveMs: 4000, ms: 800, end: undefined },
-    { name: 'is refused after 1 s, while its caller can still go elsewhere', objectiveMs: 4000, ms: 1000, end: { type: 'refused', reason: REASONS.overload } },
-    { name: 'still waits after 500 ms, as its answer would not be far beyond its objective of 500 ms', objectiveMs: 500, ms: 500, end: undefined },
-    { name: 'is refused after 700 ms, as its answer would be far beyond its objective of 500 ms', objectiveMs: 500, ms: 700, end: { type: 'refused', reason: REASONS.overload } }
+    { name: 'it waits while its caller has time', objectiveMs: 4000, ms: 800, end: undefined },
+    { name: 'refused while the caller has time left', objectiveMs: 4000, ms: 1000, end: { type: 'refused', reason: REASONS.overload } },
+    { name: 'it waits while its answer is of use', objectiveMs: 500, ms: 500, end: undefined },
+    { name: 'refused as its answer would be late', objectiveMs: 500, ms: 700, end: { type: 'refused', reason: REASONS.overload } }
   ]
-  it.each(waits)('a job that finds no free capacity $name', async ({ objectiveMs, ms, end }) => {
+  it.each(waits)('a job that finds no free capacity for $ms ms, with an objective of $objectiveMs ms: $name', async ({ objectiveMs, ms, end }) => {
     const network = await startNetwork(1, 1)
     network.endpoints[0]!.runMs = 5000
     network.submit(0, 'long', 2, { estimateMs: 5000 })
--- a/packages/coordination/tests/leased/evacuations.test.ts
+++ b/packages/coordination/tests/leased/evacuations.test.ts
@@ -120,12 +120,12 @@
   })
 
   const listOrders: Array<{ name: string, lists: Array<{ version: bigint, zones: string[] }>, isEvacuated: boolean }> = [
-    { name: 'the removal of an evacuation is read before the evacuation', lists: [{ version: 9n, zones: [] }, { version: 5n, zones: ['a'] }], isEvacuated: false },
-    { name: 'a new evacuation is read before the removal of an earlier one', lists: [{ version: 12n, zones: ['a'] }, { version: 9n, zones: [] }], isEvacuated: true },
-    { name: 'the same list is read twice', lists: [{ version: 5n, zones: ['a'] }, { version: 5n, zones: ['a'] }], isEvacuated: true },
-    { name: 'the zone is evacuated, then another one as well', lists: [{ version: 5n, zones: ['a'] }, { version: 7n, zones: ['a', 'b'] }], isEvacuated: true }
+    { name: 'a removal before its evacuation', lists: [{ version: 9n, zones: [] }, { version: 5n, zones: ['a'] }], isEvacuated: false },
+    { name: 'a new evacuation before an old removal', lists: [{ version: 12n, zones: ['a'] }, { version: 9n, zones: [] }], isEvacuated: true },
+    { name: 'the same list twice', lists: [{ version: 5n, zones: ['a'] }, { version: 5n, zones: ['a'] }], isEvacuated: true },
+    { name: 'the zone, then another one as well', lists: [{ version: 5n, zones: ['a'] }, { version: 7n, zones: ['a', 'b'] }], isEvacuated: true }
   ]
-  it.each(listOrders)('follow the newest list, whichever entry reads it: $name (evacuated: $isEvacuated)', async ({ lists, isEvacuated }) => {
+  it.each(listOrders)('follow the newest list, in whatever order entries read lists: $name (evacuated: $isEvacuated)', async ({ lists, isEvacuated }) => {
     const network = await startNetwork(2)
     for (const [index, { version, zones }] of lists.entries()) {
       evacuate(network, index % 2, version, zones)
@@ -140,8 +140,8 @@
     { name: 'an agent of the zone restarts', act: (network) => network.killAgent(0) },
     // No endpoint is known for a moment, so that jobs are refused.
     { name: 'all agents restart', act: (network) => { for (let agent = 0; agent < 4; agent++) network.killAgent(agent) }, maxRefused: 2 },
-    { name: 'an entry restarts and cannot read the store', act: (network) => network.killEntry(1) },
-    { name: 'all entries restart and cannot read the store', act: (network) => { network.killEntry(0); network.killEntry(1) } },
+    { name: 'an entry restarts without a store', act: (network) => network.killEntry(1) },
+    { name: 'all entries restart without a store', act: (network) => { network.killEntry(0); network.killEntry(1) } },
     { name: 'an entry and an agent restart at once', act: (network) => { network.killEntry(1); network.killAgent(0) } },
     { name: 'an endpoint of the zone restarts', act: (network) => network.restartEndpoint(0) }
   ]
--- a/packages/coordination/tests/leased/suspension.test.ts
+++ b/packages/coordination/tests/leased/suspension.test.ts
@@ -47,9 +47,9 @@
 
 describe('a process that is suspended, while its steady clock stands still', () => {
   const duringRun: PauseCase[] = [
-    { name: 'its agent is suspended', act: (agent) => agent.suspend(450) },
+    { name: 'suspended', act: (agent) => agent.suspend(450) },
     {
-      name: 'its agent is suspended three times',
+      name: 'suspended three times',
       act: async (agent, _entry, network) => {
         for (let count = 0; count < 3; count++) {
           agent.suspend(300)
@@ -58,14 +58,14 @@
       }
     },
     {
-      name: 'its agent is suspended, and the wall clock is set back by less than that',
+      name: 'suspended, wall clock set back by less',
       act: (agent) => {
         agent.suspend(450)
         agent.stepWallClock(-400)
       }
     },
     {
-      name: 'its agent is suspended, and the wall clock is set back by more than that',
+      name: 'suspended, wall clock set back by more',
       bootClocks: ['counts_suspensions'],
       act: (agent) => {
         agent.suspend(450)
@@ -73,7 +73,7 @@
       }
     }
   ]
-  it.each(withBootClocks(duringRun))('a task runs, its entry dies, $name (boot clock: $bootClock): submitted to another entry the job completes, and no two runs overlap', async ({ act, bootClock }) => {
+  it.each(withBootClocks(duringRun))('a task runs, its entry dies and its agent is $name (boot clock: $bootClock): submitted to another entry the job completes, and no two runs overlap', async ({ act, bootClock }) => {
     const network = await startNetwork(2, 2, RUN_MS, bootClock)
     submitJob(network, 0)
     await network.advance(200)
@@ -91,23 +91,23 @@
   })
 
   const duringStart: PauseCase[] = [
-    { name: 'its agent is suspended', act: (agent) => agent.suspend(2500) },
+    { name: 'suspended', act: (agent) => agent.suspend(2500) },
     {
-      name: 'its agent is suspended twice',
+      name: 'suspended twice',
       act: (agent) => {
         agent.suspend(1500)
         agent.suspend(1000)
       }
     },
     {
-      name: 'its agent is suspended, and the wall clock is set back by less than that',
+      name: 'suspended, wall clock set back by less',
       act: (agent) => {
         agent.suspend(2500)
         agent.stepWallClock(-2400)
       }
     },
     {
-      name: 'its agent is suspended, and the wall clock is set back by more than that',
+      name: 'suspended, wall clock set back by more',
       bootClocks: ['counts_suspensions'],
       act: (agent) => {
         agent.suspend(2500)
@@ -115,7 +115,7 @@
       }
     }
   ]
-  it.each(withBootClocks(duringStart))('a start arrives while $name (boot clock: $bootClock), and its entry dies: submitted to another entry the job completes, and no two runs overlap', async ({ act, bootClock }) => {
+  it.each(withBootClocks(duringStart))('a start arrives while its agent is $name (boot clock: $bootClock), and its entry dies: submitted to another entry the job completes, and no two runs overlap', async ({ act, bootClock }) => {
     const network = await startNetwork(2, 2, RUN_MS, bootClock)
     await act(network.agents[0]!.process, network.entries[0]!.process, network)
     submitJob(network, 0)
@@ -130,13 +130,14 @@
   })
 
   const duringDisconnect: PauseCase[] = [
-    { name: 'the entry is suspended', act: (_agent, entry) => entry.suspend(1500) },
+    { name: 'entry suspended', act: (_agent, entry) => entry.suspend(1500) },
     {
-      name: 'the entry and the agent are suspended',
+      name: 'entry and agent suspended',
       act: (agent, entry) => { for (const process of [agent, entry]) process.suspend(1500) }
     },
     {
-      name: 'the entry and the agent are suspended five times, each for less than the run lease',
+      // Each time for less than the run lease.
+      name: 'entry and agent suspended five times',
       act: async (agent, entry, network) => {
         for (let count = 0; count < 5; count++) {
           for (const process of [agent, entry]) process.suspend(400)
@@ -145,21 +146,21 @@
       }
     },
     {
-      name: 'the entry is suspended, and the agent for a shorter time',
+      name: 'entry suspended, agent for less time',
       act: (agent, entry) => {
         entry.suspend(1500)
         agent.suspend(450)
       }
     },
     {
-      name: 'the agent is suspended, and the entry for a shorter time',
+      name: 'agent suspended, entry for less time',
       act: (agent, entry) => {
         entry.suspend(450)
         agent.suspend(1200)
       }
     },
     {
-      name: 'the entry is frozen, and the agent suspended',
+      name: 'entry frozen, agent suspended',
       act: (agent, entry) => {
         entry.freeze(1500)
         agent.suspend(1500)
--- a/packages/coordination/tests/leased/unverifiedLeases.test.ts
+++ b/packages/coordination/tests/leased/unverifiedLeases.test.ts
@@ -233,7 +233,7 @@
       lostCount: 0
     },
     {
-      name: 'frozen for longer than the termination bound, then reads a frame',
+      name: 'frozen beyond the termination bound',
       act: (fixture) => {
         fixture.pass(1200)
         fixture.receiveFrame()
@@ -243,7 +243,7 @@
       lostCount: 1
     },
     {
-      name: 'frozen for less than the termination bound, then reads a frame',
+      name: 'frozen within the termination bound',
       act: (fixture) => {
         fixture.pass(1100)
         fixture.receiveFrame()
@@ -253,7 +253,7 @@
       lostCount: 0
     }
   ]
-  it.each(cases)('$name: sessions closed $closeCount, tasks lost $lostCount, echoes afterwards $echoes', ({ act, echoes, closeCount, lostCount }) => {
+  it.each(cases)('$name: frames sent afterwards echo a timestamp: $echoes', ({ act, echoes, closeCount, lostCount }) => {
     const fixture = new EntryFixture()
     expect(fixture.echo).toBeGreaterThan(0)
     act(fixture)
