--- a/packages/coordination/src/health/endpointHealth.ts
+++ b/packages/coordination/src/health/endpointHealth.ts
@@ -1,5 +1,5 @@
-import { setAside } from '@hazellift/decisions'
-import type { EndpointRecordView, SetAside } from '@hazellift/decisions'
+import { eject } from '@hazellift/decisions'
+import type { EndpointRecordView, Eject } from '@hazellift/decisions'
 import { HEALTH_STATES } from '@hazellift/protocol'
 import type { HealthState } from '@hazellift/protocol'
 
@@ -11,7 +11,7 @@
   /** Time aside, by the number of times in a row. */
   backoff: (times: number) => number
   /** Decides in place of the product's rule, for measurements. */
-  setAside?: SetAside
+  setAside?: Eject
 }
 
 /** How some starts at one endpoint ended. */
@@ -149,7 +149,7 @@
 
   private isFarWorse (record: EndpointRecord): boolean {
     const peers = [...this.records.values()].filter((peer) => peer !== record)
-    const decide = this.options.setAside ?? setAside
+    const decide = this.options.setAside ?? eject
     return decide(viewOf(record), peers.map(viewOf))
   }
 
--- a/packages/coordination/src/leased/endpointLife.test.ts
+++ b/packages/coordination/src/leased/endpointSupervisor.test.ts
@@ -2,10 +2,10 @@
 import { createFakeClock } from '../../tests/fakeClock.js'
 import { CAPACITY, FakeEndpoint } from '../../tests/leased/fakeEndpoint.js'
 import type { CallFault } from '../../tests/leased/fakeEndpoint.js'
-import { EndpointLife } from './endpointLife.js'
+import { EndpointSupervisor } from './endpointSupervisor.js'
 import { MAX_LIMIT_MS } from './responseTimes.js'
 
-const TIMES = { authorityMs: 600, holdMs: 500, stopMs: 50, clockFactor: 1.02 }
+const TIMES = { entryLeaseMs: 600, runLeaseMs: 500, stopMs: 50, clockFactor: 1.02 }
 /** A caller that has learned that answers take a millisecond or two. */
 const CALL_LIMIT_MS = 10
 const NEED = { cpuMilli: 1000, memoryMb: 64 }
@@ -22,8 +22,8 @@
   const clock = createFakeClock()
   const endpoint = new FakeEndpoint(clock, () => NEED.cpuMilli, callLimitMs)
   endpoint.runMs = runMs
-  const life = new EndpointLife({
-    clock, endpoint, capacity: CAPACITY, times: TIMES, waitMs: 100, beforeHold: () => {}, mayStart: () => mayStart, onRoom: () => {}, onOpen: () => {}, endReason: () => 'endpoint_crashed', onGone: () => {}, log: () => {}
+  const life = new EndpointSupervisor({
+    clock, endpoint, capacity: CAPACITY, times: TIMES, pollWaitMs: 100, beforeRenewal: () => {}, mayStart: () => mayStart, onCapacityFreed: () => {}, onReady: () => {}, endReason: () => 'endpoint_crashed', onGone: () => {}, log: () => {}
   })
   const advance = async (ms: number): Promise<void> => {
     for (let passed = 0; passed < ms; passed += STEP_MS) {
--- a/packages/coordination/src/leased/queueShares.test.ts
+++ b/packages/coordination/src/leased/queueShares.test.ts
@@ -1,5 +1,5 @@
 import { PLAIN_POLICY, POLICY } from '@hazellift/decisions'
-import type { Shares } from '@hazellift/decisions'
+import type { ComputeShares } from '@hazellift/decisions'
 import { describe, expect, it } from 'vitest'
 import { simulateQueueBurst } from '../../tests/leased/simulateQueueBurst.js'
 
@@ -13,7 +13,7 @@
 /** How much worse entries may fare that hear nothing of each other. */
 const DISAGREEMENT = 0.05
 
-const servedBy = (entries: number, shares: Shares, seed: number): number[] =>
+const servedBy = (entries: number, shares: ComputeShares, seed: number): number[] =>
   [...simulateQueueBurst(entries, shares, seed).queues.values()].map(({ inTime, arrived: asked }) => inTime / asked)
 const SEEDS = [{ seed: 1 }, { seed: 5 }, { seed: 6 }, { seed: 7 }]
 
--- a/packages/coordination/tests/leased/entryLeases.test.ts
+++ b/packages/coordination/tests/leased/entryLeases.test.ts
@@ -1,6 +1,6 @@
 import { SuspensionWatch } from '@hazellift/common'
 import { describe, expect, it } from 'vitest'
-import { Authorities } from '../../src/leased/authorities.js'
+import { EntryLeases } from '../../src/leased/entryLeases.js'
 import { createFakeClock } from '../fakeClock.js'
 import { ProcessClock } from '../processClock.js'
 import type { BootClock } from '../processClock.js'
@@ -22,18 +22,18 @@
   echoRequests = 0
   readonly process: ProcessClock
   private readonly referenceClock = createFakeClock()
-  private readonly leases: Authorities
+  private readonly leases: EntryLeases
 
   constructor (bootClock: BootClock) {
     this.process = new ProcessClock(this.referenceClock, bootClock)
-    this.leases = new Authorities({
+    this.leases = new EntryLeases({
       clock: this.process,
       watch: new SuspensionWatch(this.process),
-      authorityMs: ENTRY_LEASE_MS,
-      doubtMs: VERIFICATION_MS,
+      entryLeaseMs: ENTRY_LEASE_MS,
+      verificationMs: VERIFICATION_MS,
       isOpen: () => this.isOpen,
-      onDoubt: () => { this.echoRequests++ },
-      onLapse: () => { this.expiries++ }
+      onUnverified: () => { this.echoRequests++ },
+      onExpired: () => { this.expiries++ }
     })
     this.pass(1000)
     this.echo()
@@ -44,9 +44,9 @@
   }
 
   get state (): LeaseState {
-    this.leases.look()
-    if (this.leases.has(ENTRY)) return STATES.valid
-    return this.leases.isDoubtful(ENTRY) ? STATES.unverified : STATES.expired
+    this.leases.check()
+    if (this.leases.isValid(ENTRY)) return STATES.valid
+    return this.leases.isUnverified(ENTRY) ? STATES.unverified : STATES.expired
   }
 
   pass (ms: number): void {
@@ -65,7 +65,7 @@
 
   changeSession (isOpen: boolean): void {
     this.isOpen = isOpen
-    this.leases.onSession(ENTRY)
+    this.leases.onSessionChange(ENTRY)
   }
 }
 
@@ -209,13 +209,13 @@
   it('an echo of a timestamp from before a suspension grants no lease to an entry that had none', () => {
     const referenceClock = createFakeClock()
     const process = new ProcessClock(referenceClock)
-    const leases = new Authorities({
-      clock: process, watch: new SuspensionWatch(process), authorityMs: ENTRY_LEASE_MS, doubtMs: VERIFICATION_MS, isOpen: () => true, onDoubt: () => {}, onLapse: () => {}
+    const leases = new EntryLeases({
+      clock: process, watch: new SuspensionWatch(process), entryLeaseMs: ENTRY_LEASE_MS, verificationMs: VERIFICATION_MS, isOpen: () => true, onUnverified: () => {}, onExpired: () => {}
     })
     referenceClock.advance(1000)
     process.suspend(5000)
     referenceClock.advance(5000)
     leases.renew('new', 900)
-    expect(leases.has('new')).toBe(false)
+    expect(leases.isValid('new')).toBe(false)
   })
 })
--- a/packages/coordination/tests/leased/ephemeralJobs.test.ts
+++ b/packages/coordination/tests/leased/ephemeralJobs.test.ts
@@ -2,7 +2,7 @@
 import { REASONS } from '@hazellift/protocol'
 import fc from 'fast-check'
 import { describe, expect, it } from 'vitest'
-import { provedOverMs } from '../../src/index.js'
+import { terminationBoundMs } from '../../src/index.js'
 import { CAPACITY, overlappingRuns } from './fakeEndpoint.js'
 import type { CallFault } from './fakeEndpoint.js'
 import { LeasedNetwork, LEASE_TIMES } from './leasedNetwork.js'
@@ -26,7 +26,7 @@
 
 describe('ephemeral jobs', () => {
   it('a task is confirmed terminated before its caller submits the job again', () => {
-    expect(provedOverMs(LEASE_TIMES)).toBeLessThan(RESUBMIT_MS)
+    expect(terminationBoundMs(LEASE_TIMES)).toBeLessThan(RESUBMIT_MS)
   })
 
   it('all tasks of a job run once, and the job completes', async () => {
--- a/packages/coordination/tests/leased/fakeEndpoint.ts
+++ b/packages/coordination/tests/leased/fakeEndpoint.ts
@@ -2,7 +2,7 @@
 import type { Clock } from '@hazellift/common'
 import type { Resources } from '@hazellift/decisions'
 import { RUN_ENDS } from '../../src/index.js'
-import type { HoldOutcome, LeasedEndpoint, ListedEnd, RunEnd, RunRef, StartOrder, StartOutcome } from '../../src/index.js'
+import type { PollOutcome, LeasedEndpoint, ListedEnd, RunEnd, RunRef, StartOrder, StartOutcome } from '../../src/index.js'
 
 interface FakeRun extends RunRef {
   cpuMilli: number
@@ -89,7 +89,7 @@
   start = (order: StartOrder): Promise<StartOutcome> => this.call('start', () => this.onStart(order), { type: 'unknown' })
   stop = (run: RunRef): Promise<boolean> => this.call('stop', () => this.onStop(run), false)
 
-  hold: LeasedEndpoint['hold'] = async ({ holdMs, lastSeen, waitMs }) => {
+  poll: LeasedEndpoint['poll'] = async ({ runLeaseMs: holdMs, lastSeen, waitMs }) => {
     const leaseEndsAt = holdMs === undefined ? 0 : this.clock.now() + holdMs
     const isAnswered = await this.call('poll', () => {
       this.leaseEndsAt = Math.max(this.leaseEndsAt, leaseEndsAt)
@@ -103,7 +103,7 @@
     }
     for (let waited = 0; waited < waitMs && this.listedEnds.length === 0 && !this.isDown; waited += STEP_MS) await this.clock.sleep(STEP_MS)
     // The endpoint may have crashed while the call waited for an end.
-    if (this.isDown) return this.callAfterCrash<HoldOutcome>('poll', { type: 'unknown' })
+    if (this.isDown) return this.callAfterCrash<PollOutcome>('poll', { type: 'unknown' })
     return this.list()
   }
 
@@ -130,7 +130,7 @@
     return [...this.running.values()].map(({ submission, index, run, startedAt }) => ({ submission, index, run, startedAt, endedAt: Infinity }))
   }
 
-  private list (): HoldOutcome {
+  private list (): PollOutcome {
     this.tick()
     return { type: 'held', running: [...this.running.values()].map(({ submission, index, run }) => ({ submission, index, run })), ended: [...this.listedEnds] }
   }
@@ -163,7 +163,7 @@
     this.crashPlan.onCrash()
   }
 
-  private onStart ({ submission, index, run, holdMs }: StartOrder): StartOutcome {
+  private onStart ({ submission, index, run, runLeaseMs: holdMs }: StartOrder): StartOutcome {
     this.tick()
     const task = `${submission}.${index}`
     if (run <= (this.highestEndedRun.get(task) ?? 0)) return { type: 'number_used' }
--- a/packages/coordination/tests/leased/leasedNetwork.ts
+++ b/packages/coordination/tests/leased/leasedNetwork.ts
@@ -12,7 +12,7 @@
 import { CAPACITY, FakeEndpoint } from './fakeEndpoint.js'
 import type { CrashMode } from './fakeEndpoint.js'
 
-export const LEASE_TIMES: LeaseTimes = { authorityMs: 600, holdMs: 500, stopMs: 50, clockFactor: 1.02 }
+export const LEASE_TIMES: LeaseTimes = { entryLeaseMs: 600, runLeaseMs: 500, stopMs: 50, clockFactor: 1.02 }
 /** Interval of the agents' frames. */
 const KEEP_ALIVE_MS = 150
 /** An entry sends a frame once it has sent none for this long. */
@@ -201,8 +201,8 @@
       zone: ZONE,
       times: this.times,
       events: { ...NO_EVENTS, agentChanged: (agent, change) => this.onAgentChanged(agent, change), configSeen: (_version, document) => this.configDocuments.push({ entry: index, text: Buffer.from(document).toString() }) },
-      setAsideShare: 0.4,
-      setAsideBackoff: () => 1000,
+      maxEjectedShare: 0.4,
+      ejectionBackoff: () => 1000,
       defer: (fn) => { setImmediate(() => process.run(fn)) }
     })
     return { incarnation: `e${index}-${this.incarnationCount++}`, process, dispatcher, jobs: new LeasedJobs(process, dispatcher), isUp: true }
@@ -212,7 +212,7 @@
     if (!this.endpoints.includes(endpoint)) this.endpoints.push(endpoint)
     const process = this.agents[index]?.process ?? new ProcessClock(this.clock, this.bootClock)
     const host = new LeasedHost({
-      clock: process, zone: this.zoneOf(index), times: this.times, holdWaitMs: 100, log: () => {}, observe: (result) => this.countEndedStart(result)
+      clock: process, zone: this.zoneOf(index), times: this.times, pollWaitMs: 100, log: () => {}, observe: (result) => this.countEndedStart(result)
     })
     const incarnationNumber = this.incarnationCount++
     const agent = { incarnation: `a${incarnationNumber}`, process, host, endpoint, incarnationNumber, isUp: true }
@@ -232,7 +232,7 @@
       endpoint: {
         start: (order) => agent.isUp ? process.receive(endpoint.start(order)) : new Promise(() => {}),
         stop: (run) => agent.isUp ? process.receive(endpoint.stop(run)) : new Promise(() => {}),
-        hold: (order) => agent.isUp ? process.receive(endpoint.hold(order)) : new Promise(() => {})
+        poll: (order) => agent.isUp ? process.receive(endpoint.poll(order)) : new Promise(() => {})
       }
     })
   }
--- a/packages/coordination/tests/leased/simulateQueueBurst.ts
+++ b/packages/coordination/tests/leased/simulateQueueBurst.ts
@@ -1,10 +1,10 @@
 import { seededRandom } from '@hazellift/common'
 import type { Random } from '@hazellift/common'
-import { POLICY, workLeft } from '@hazellift/decisions'
-import type { LoadView, Shares } from '@hazellift/decisions'
+import { POLICY, queuedWork } from '@hazellift/decisions'
+import type { LoadView, ComputeShares } from '@hazellift/decisions'
 import { createLeasedJob } from '../../src/index.js'
 import type { LeasedJob } from '../../src/index.js'
-import { findHopeless } from '../../src/leased/leasedAdmission.js'
+import { findJobsToShed } from '../../src/leased/leasedAdmission.js'
 import { LeasedQueue } from '../../src/leased/leasedQueue.js'
 import { LoadRecord } from '../../src/leased/loadRecord.js'
 
@@ -65,7 +65,7 @@
   private jobCount = 0
   private startCount = 0
 
-  constructor (entryCount: number, private readonly shares: Shares, seed: number) {
+  constructor (entryCount: number, private readonly shares: ComputeShares, seed: number) {
     this.random = seededRandom(seed)
     this.entries = Array.from({ length: entryCount }, () => ({ queue: new LeasedQueue(POLICY.order), load: new LoadRecord(() => this.now), lastStart: 0 }))
   }
@@ -111,10 +111,10 @@
       deadlineMs: 4 * (1.6 * runMs + 60)
     }, this.now, runMs, () => {})
     if (this.isBurst) this.result.queues.get(priority)!.arrived++
-    entry.load.onAsked(priority, workLeft(job))
+    entry.load.onArrived(priority, queuedWork(job))
     const view = { capacityMilli: SLOTS * SLOT.cpuMilli, load: this.viewOf(entry), waiting: entry.queue, waitingCount: entry.queue.size }
-    if (POLICY.admit(job, view).type !== 'taken') return entry.load.onRefused(priority, workLeft(job))
-    entry.load.onTaken(priority, workLeft(job))
+    if (POLICY.admit(job, view).type !== 'taken') return entry.load.onRefused(priority, queuedWork(job))
+    entry.load.onAdmitted(priority, queuedWork(job))
     entry.queue.add(job)
   }
 
@@ -122,7 +122,7 @@
   private startWaiting (): void {
     while (this.freeSlots > 0) {
       const waiting = this.entries.filter(({ queue }) => queue.size > 0)
-        .map((entry) => ({ entry, priority: entry.queue.wantingPriority(this.now, this.viewOf(entry))! }))
+        .map((entry) => ({ entry, priority: entry.queue.demandPriority(this.now, this.viewOf(entry))! }))
         .sort((a, b) => a.priority - b.priority || a.entry.lastStart - b.entry.lastStart)
       if (waiting.length === 0) return
       this.start(waiting[0]!.entry)
@@ -155,10 +155,10 @@
   private sweep (): void {
     for (const entry of this.entries) {
       const { queue, load } = entry
-      load.onLook(queue.size > 0)
+      load.recordWaiting(queue.size > 0)
       const view = this.viewOf(entry)
-      for (const { job } of findHopeless(queue.inOrder(this.now, view), this.now, view, POLICY)) {
-        load.onRefused(job.priority, workLeft(job))
+      for (const { job } of findJobsToShed(queue.inOrder(this.now, view), this.now, view, POLICY)) {
+        load.onRefused(job.priority, queuedWork(job))
         queue.remove(job)
       }
     }
@@ -173,4 +173,4 @@
  * @param shares - decides which part of the slots is reserved for each queue
  * @param seed - of the arrivals
  */
-export const simulateQueueBurst = (entryCount: number, shares: Shares, seed: number): BurstResult => new BurstSimulation(entryCount, shares, seed).simulate()
+export const simulateQueueBurst = (entryCount: number, shares: ComputeShares, seed: number): BurstResult => new BurstSimulation(entryCount, shares, seed).simulate()
--- a/packages/coordination/tests/leased/unverifiedLeases.test.ts
+++ b/packages/coordination/tests/leased/unverifiedLeases.test.ts
@@ -4,7 +4,7 @@
 import type { AgentFrame, EntryFrame } from '@hazellift/protocol'
 import { describe, expect, it } from 'vitest'
 import { LeasedHost, RUN_ENDS } from '../../src/index.js'
-import type { HoldOrder, HoldOutcome, StartOrder, StartOutcome } from '../../src/index.js'
+import type { PollRequest, PollOutcome, StartOrder, StartOutcome } from '../../src/index.js'
 import { LeasedFleet } from '../../src/leased/leasedFleet.js'
 import { LeasedSessions } from '../../src/leased/leasedSessions.js'
 import { createFakeClock } from '../fakeClock.js'
@@ -24,7 +24,7 @@
 /** An agent's host whose endpoint answers each call only when the test answers it, and never answers stops. */
 class HostFixture {
   readonly starts: Array<PendingCall<StartOrder, StartOutcome>> = []
-  readonly polls: Array<PendingCall<HoldOrder, HoldOutcome>> = []
+  readonly polls: Array<PendingCall<PollRequest, PollOutcome>> = []
   /** Tasks with the reason or outcome that was reported of them. */
   readonly results: string[] = []
   private readonly referenceClock = createFakeClock()
@@ -33,7 +33,7 @@
     clock: this.process,
     zone: 'z',
     times: LEASE_TIMES,
-    holdWaitMs: 100,
+    pollWaitMs: 100,
     log: () => {},
     observe: ({ key, reason, outcome }) => this.results.push(`${key!.submission} ${reason || outcome}`)
   })
@@ -51,14 +51,14 @@
       endpoint: {
         start: (order) => new Promise((resolve) => { this.starts.push({ order, answer: resolve }) }),
         stop: () => new Promise(() => {}),
-        hold: (order) => new Promise((resolve) => { this.polls.push({ order, answer: resolve }) })
+        poll: (order) => new Promise((resolve) => { this.polls.push({ order, answer: resolve }) })
       }
     })
     await this.answerPoll({ type: 'held', running: [], ended: [] })
     for (const entry of entries) this.host.openSession(entry, this.add)
   }
 
-  async answerPoll (outcome: HoldOutcome): Promise<void> {
+  async answerPoll (outcome: PollOutcome): Promise<void> {
     this.polls.shift()!.answer(outcome)
     await flushPromises()
   }
@@ -134,7 +134,7 @@
     fixture.pass(10)
     fixture.suspend(300)
     const run = { submission: 'first', index: 0, run: fixture.starts[0]!.order.run }
-    const nextPoll = async (): Promise<HoldOrder> => {
+    const nextPoll = async (): Promise<PollRequest> => {
       await fixture.answerPoll({ type: 'held', running: [run], ended: [] })
       fixture.pass(5)
       await flushPromises()
@@ -143,7 +143,7 @@
     expect(await nextPoll()).toMatchObject({ holdMs: undefined, waitMs: 25 })
     fixture.pass(1)
     await fixture.receiveFrame('e')
-    expect(await nextPoll()).toMatchObject({ holdMs: LEASE_TIMES.holdMs, waitMs: 100 })
+    expect(await nextPoll()).toMatchObject({ holdMs: LEASE_TIMES.runLeaseMs, waitMs: 100 })
   })
 })
 
@@ -161,7 +161,7 @@
 
   constructor () {
     this.process = new ProcessClock(this.referenceClock)
-    const fleet = new LeasedFleet({ clock: this.process, random: seededRandom(1), zone: 'z', setAsideShare: 0.4, setAsideBackoff: () => 1000 })
+    const fleet = new LeasedFleet({ clock: this.process, random: seededRandom(1), zone: 'z', maxEjectedShare: 0.4, ejectionBackoff: () => 1000 })
     this.sessions = new LeasedSessions({
       clock: this.process,
       watch: new SuspensionWatch(this.process),
@@ -176,7 +176,7 @@
     this.referenceClock.advance(1000)
     this.agent = this.sessions.open(create(HelloSchema, { agentId: 'a', incarnation: 'i', zone: 'z' }), this.link)
     this.receiveFrame()
-    this.agent.sent.set('task', { job: undefined as never, index: 0, attempt: 0, sentAt: 1000, life: '' })
+    this.agent.sent.set('task', { job: undefined as never, index: 0, attempt: 0, sentAt: 1000, endpointIncarnation: '' })
   }
 
   /** Receives a frame of the agent. */
--- a/packages/sessions/src/createSessions.ts
+++ b/packages/sessions/src/createSessions.ts
@@ -6,7 +6,7 @@
 import type { AgentLink, SessionDispatcher } from '@hazellift/coordination'
 import { EntryFrameSchema, EntryListSchema, WelcomeSchema } from '@hazellift/protocol'
 import type { AgentFrame, EntryFrame, SessionService } from '@hazellift/protocol'
-import type { EntryPlace } from '@hazellift/decisions'
+import type { EntryLocation } from '@hazellift/decisions'
 import { Pulse } from './pulse.js'
 import type { PulseOptions } from './pulse.js'
 
@@ -20,7 +20,7 @@
   /** How often agents hear of this entry, and how long one may be silent. */
   pulse: PulseOptions
   /** Entries that agents may dial. */
-  entries: () => EntryPlace[]
+  entries: () => EntryLocation[]
 }
 
 /** Sessions open at this entry. */
--- a/packages/sessions/src/entryDialer.ts
+++ b/packages/sessions/src/entryDialer.ts
@@ -1,7 +1,7 @@
 import { createBackoff, createLogger } from '@hazellift/common'
 import type { Clock, Random } from '@hazellift/common'
-import { choosePart } from '@hazellift/decisions'
-import type { EntryPlace, PartLimits } from '@hazellift/decisions'
+import { chooseSubset } from '@hazellift/decisions'
+import type { EntryLocation, SubsetLimits } from '@hazellift/decisions'
 import { KnownEntries } from './knownEntries.js'
 
 /** How the dialer steers one session, and hears of it. */
@@ -13,7 +13,7 @@
   /** The entry has said welcome. */
   onOpen: () => void
   /** The entry told of those that it knows. */
-  onEntries: (entries: EntryPlace[]) => void
+  onEntries: (entries: EntryLocation[]) => void
 }
 
 /** What the dialer needs. */
@@ -25,7 +25,7 @@
   /** Score of an entry for this agent; the highest are preferred. */
   score: (address: string) => number
   /** How many entries the agent holds sessions with. */
-  limits: PartLimits
+  limits: SubsetLimits
   /** Addresses to begin with, before any entry is known. */
   seeds: string[]
   /** Pause before each seed; once an entry is known, no further seed is dialled. */
@@ -107,12 +107,12 @@
   }
 
   /** Entries were looked up elsewhere; counts until an entry tells of those that it knows. */
-  onLookedUp (entries: EntryPlace[]): void {
+  onLookedUp (entries: EntryLocation[]): void {
     this.known.set(LOOKED_UP, entries)
     this.update()
   }
 
-  private onEntries (address: string, entries: EntryPlace[]): void {
+  private onEntries (address: string, entries: EntryLocation[]): void {
     this.known.set(address, entries)
     this.known.forget(LOOKED_UP)
     this.update()
@@ -130,7 +130,7 @@
     const { zone, score, limits, clock } = this.options
     const known = this.known.all
     const listed = new Set(known.map(({ address }) => address))
-    const wanted = choosePart(known, { zone, score, isLost: (address) => this.isLost(address) }, limits)
+    const wanted = chooseSubset(known, { zone, score, isUnreachable: (address) => this.isLost(address) }, limits)
     for (const address of wanted) this.begin(address)
     for (const [address, dial] of this.dials) {
       // An entry that nobody lists is about to stop, or a seed: it ends its session itself, once its jobs are over.
