--- a/packages/coordination/tests/leased/ephemeralJobs.test.ts
+++ b/packages/coordination/tests/leased/ephemeralJobs.test.ts
@@ -151,7 +151,7 @@
     expect(overlappingRuns(network.endpoints)).toEqual([])
   })
 
-  const violations = [{ name: 'an entry lease of 5 s', times: { ...LEASE_TIMES, authorityMs: 5000 } }]
+  const violations = [{ name: 'an entry lease of 5 s', times: { ...LEASE_TIMES, entryLeaseMs: 5000 } }]
   it.each(violations)('overlappingRuns detects overlaps if the termination bound is violated by $name', async ({ times }) => {
     const network = await startNetwork(2, 2, times)
     for (const endpoint of network.endpoints) endpoint.runMs = 3000
--- a/packages/coordination/tests/leased/unverifiedLeases.test.ts
+++ b/packages/coordination/tests/leased/unverifiedLeases.test.ts
@@ -140,10 +140,10 @@
       await flushPromises()
       return fixture.polls[0]!.order
     }
-    expect(await nextPoll()).toMatchObject({ holdMs: undefined, waitMs: 25 })
+    expect(await nextPoll()).toMatchObject({ runLeaseMs: undefined, waitMs: 25 })
     fixture.pass(1)
     await fixture.receiveFrame('e')
-    expect(await nextPoll()).toMatchObject({ holdMs: LEASE_TIMES.runLeaseMs, waitMs: 100 })
+    expect(await nextPoll()).toMatchObject({ runLeaseMs: LEASE_TIMES.runLeaseMs, waitMs: 100 })
   })
 })
 
