--- a/packages/coordination/src/leased/leasedAdmission.ts
+++ b/packages/coordination/src/leased/leasedAdmission.ts
@@ -37,8 +37,8 @@
   switch (admission.type) {
     case 'taken': return undefined
     case 'no_capacity': return refuse(REASONS.noEndpoint, `no endpoint serves '${job.service}' now`, policy)
-    case 'too_many': return refuseOverloaded('too many jobs are waiting for the service', job, load, policy)
-    case 'too_late': return refuseOverloaded(`the forecast wait of about ${Math.round(admission.waitMs)} ms is too long for the job`, job, load, policy)
+    case 'too_many': return refuseOverloaded('too many jobs wait', job, load, policy)
+    case 'too_late': return refuseOverloaded(`the jobs ahead take about ${Math.round(admission.waitMs)} ms`, job, load, policy)
     default: return assertNever(admission)
   }
 }
@@ -59,7 +59,7 @@
   return jobs.flatMap((job) => {
     const own = ownWork.get(job.priority) ?? 0
     const waitMs = forecastWait({ all, own }, job.priority, load)
-    if (policy.giveUp(job, now, waitMs)) return [{ job, end: refuseOverloaded(`no free capacity in time: the forecast wait is about ${Math.round(waitMs)} ms more`, job, load, policy) }]
+    if (policy.giveUp(job, now, waitMs)) return [{ job, end: refuseOverloaded(`no room in time: about ${Math.round(waitMs)} ms more`, job, load, policy) }]
     const work = queuedWork(job)
     all += work
     ownWork.set(job.priority, own + work)
--- a/packages/coordination/src/leased/leasedJobs.ts
+++ b/packages/coordination/src/leased/leasedJobs.ts
@@ -116,7 +116,7 @@
         if (hasLeft) return
         hasLeft = true
         open.callers--
-        if (open.callers === 0) this.dispatcher.cancel(open.job, REASONS.callerGone, 'every caller of the job has disconnected')
+        if (open.callers === 0) this.dispatcher.cancel(open.job, REASONS.callerGone, 'the caller has gone')
       }
     }
   }
--- a/packages/coordination/src/leased/suspects.ts
+++ b/packages/coordination/src/leased/suspects.ts
@@ -112,10 +112,10 @@
 
   private incarnationsOf (job: LeasedJob, index: number): string[] {
     const losses = this.losses.get(taskName(job, index)) ?? []
-    return [...new Set(losses.map(({ incarnation: life, isCrash }) => isCrash ? life : `${life} (unresponsive)`))]
+    return [...new Set(losses.map(({ incarnation: life, isCrash }) => isCrash ? life : `${life} (silent)`))]
   }
 
   private failureOf (job: LeasedJob, index: number): LeasedJobEnd {
-    return { type: 'failed', reason: REASONS.taskCrashesEndpoints, message: `endpoints crashed while running task ${index}: ${this.incarnationsOf(job, index).join(', ')}` }
+    return { type: 'failed', reason: REASONS.taskCrashesEndpoints, message: `endpoints crashed under task ${index}: ${this.incarnationsOf(job, index).join(', ')}` }
   }
 }
