--- a/packages/sessions/src/handOnStreams.ts
+++ b/packages/sessions/src/handOnStreams.ts
@@ -5,7 +5,7 @@
 import { createConnectTransport } from '@connectrpc/connect-node'
 import { createLogger, errorMessage } from '@hazellift/common'
 import { Outbox } from '@hazellift/coordination'
-import type { HandedOnJobs, HandOnLink, HandOnPeer, HostedJobs, HostedPeer } from '@hazellift/coordination'
+import type { HandedOnJobs, HandOnLink, HandOnPeer, HostedJobs, OriginPeer } from '@hazellift/coordination'
 import type { EntryPlace } from '@hazellift/decisions'
 import { CallerFrameSchema, HandOnHelloSchema, HandOnService, HostFrameSchema } from '@hazellift/protocol'
 import type { CallerFrame, HostFrame } from '@hazellift/protocol'
@@ -14,7 +14,7 @@
 
 /** What a stream to a neighbour needs. */
 export interface DialHandOnOptions {
-  jobs: Pick<HandedOnJobs, 'open' | 'closed' | 'onFrame' | 'stamp'>
+  jobs: Pick<HandedOnJobs, 'open' | 'closed' | 'onFrame' | 'fillFrame'>
   entryId: string
   zone: string
   /** Ends the stream. */
@@ -38,7 +38,7 @@
   let peer: HandOnPeer | undefined
   const stamped = async function * (): AsyncGenerator<CallerFrame> {
     for await (const frame of outbox) {
-      if (peer !== undefined) jobs.stamp(peer, frame)
+      if (peer !== undefined) jobs.fillFrame(peer, frame)
       yield frame
     }
   }
@@ -62,19 +62,19 @@
 
 /** The other side: entries that hand work to this one, one task a stream. */
 class HandOnServer {
-  constructor (private readonly jobs: Pick<HostedJobs, 'open' | 'closed' | 'onFrame' | 'stamp'>) {}
+  constructor (private readonly jobs: Pick<HostedJobs, 'open' | 'closed' | 'onFrame' | 'fillFrame'>) {}
 
   readonly service: ServiceImpl<typeof HandOnService> = { open: (frames, context) => this.open(frames, context) }
 
   private async * open (frames: AsyncIterable<CallerFrame>, context: HandlerContext): AsyncGenerator<HostFrame> {
     const outbox = new Outbox<HostFrame>(() => create(HostFrameSchema), () => yieldTurn())
     const link: HandOnLink<HostFrame> = { add: (add) => outbox.add(add), close: () => outbox.close() }
-    const opened: { peer: HostedPeer | undefined } = { peer: undefined }
+    const opened: { peer: OriginPeer | undefined } = { peer: undefined }
     context.signal.addEventListener('abort', link.close)
     void this.read(frames, link, opened)
     try {
       for await (const frame of outbox) {
-        if (opened.peer !== undefined) this.jobs.stamp(opened.peer, frame)
+        if (opened.peer !== undefined) this.jobs.fillFrame(opened.peer, frame)
         yield frame
       }
     } finally {
@@ -82,7 +82,7 @@
     }
   }
 
-  private async read (frames: AsyncIterable<CallerFrame>, link: HandOnLink<HostFrame>, opened: { peer: HostedPeer | undefined }): Promise<void> {
+  private async read (frames: AsyncIterable<CallerFrame>, link: HandOnLink<HostFrame>, opened: { peer: OriginPeer | undefined }): Promise<void> {
     try {
       for await (const frame of frames) {
         if (frame.hello !== undefined) opened.peer ??= this.jobs.open(frame.hello, link)
@@ -101,4 +101,4 @@
  *
  * @param jobs - what runs their jobs
  */
-export const createHandOnService = (jobs: Pick<HostedJobs, 'open' | 'closed' | 'onFrame' | 'stamp'>): ServiceImpl<typeof HandOnService> => new HandOnServer(jobs).service
+export const createHandOnService = (jobs: Pick<HostedJobs, 'open' | 'closed' | 'onFrame' | 'fillFrame'>): ServiceImpl<typeof HandOnService> => new HandOnServer(jobs).service
