--- a/packages/coordination/src/handoff/handOnPeer.ts
+++ b/packages/coordination/src/handoff/handOnPeer.ts
@@ -3,67 +3,72 @@
 import type { LeasedJob } from '../leased/leasedJob.js'
 import type { HandOnLink } from './types.js'
 
-/** A neighbour as the decision sees it for one service. */
+/** A neighbour's load for one service, as input to the decision to hand a job on. */
 export interface PeerView extends NeighbourView {
   readonly peer: HandOnPeer
 }
 
-/** What was offered so lately may not be in its news yet. */
+/** A load report may not include yet what was offered during this time before it. */
 const REPORT_DELAY_MS = 100
 
-/** A neighbour that this entry may hand work to, on one stream. */
+/** A neighbour to which this entry may hand jobs on (forward them), as seen on one stream. */
 export class HandOnPeer {
-  /** Offers that it has, by their number. */
+  /** Jobs offered to it and not confirmed terminated, by the number of their offer. */
   readonly offeredJobs = new Map<number, LeasedJob>()
+  /** False once the stream has ended or the neighbour counts as lost. */
   isOpen = true
-  /** The neighbour's clock, as it said last. */
+  /** The highest timestamp received from it, on its clock. */
   stampMs = 0
-  /** When its last frame was read, on this process's clock. */
+  /** When its last frame was received, on this process's clock. */
   receivedAt: number
-  /** When a frame left for it last. */
+  /** When a frame was last sent to it; each frame echoes `stampMs`. */
   echoedAt = -Infinity
   private loadReport: HandOnNews | undefined
   private offerCount = 0
-  private recentOffers: Array<{ at: number, milli: number }> = []
+  private recentOffers: Array<{ offeredAt: number, cpuMilli: number }> = []
 
   constructor (readonly address: string, readonly zone: string, readonly link: HandOnLink<CallerFrame>, now: number) {
     this.receivedAt = now
   }
 
-  /** A frame was read. */
+  /** Notes a received frame's timestamp and load report. */
   onReceived (now: number, stampMs: number, loadReport: HandOnNews | undefined): void {
     this.receivedAt = now
     this.stampMs = Math.max(this.stampMs, stampMs)
     if (loadReport !== undefined) this.loadReport = loadReport
   }
 
-  /** Takes an offer down; its number. */
+  /**
+   * Records a job as offered to this neighbour.
+   *
+   * @returns the number of the offer
+   */
   addOffer (job: LeasedJob, now: number): number {
-    this.recentOffers.push({ at: now, milli: job.count * job.need.cpuMilli })
+    this.recentOffers.push({ offeredAt: now, cpuMilli: job.count * job.need.cpuMilli })
     this.offeredJobs.set(++this.offerCount, job)
     return this.offerCount
   }
 
-  /** The number under which it has the job. */
+  /** The number of the job's offer; undefined if the job is not offered to this neighbour. */
   offerOf (job: LeasedJob): number | undefined {
     for (const [offer, other] of this.offeredJobs) if (other === job) return offer
     return undefined
   }
 
-  /** What it told of itself, lately or not. */
+  /** Its last load report for a service, however old, and the offers that the report may not include. */
   viewOf (service: string, now: number): PeerView {
-    this.recentOffers = this.recentOffers.filter(({ at }) => now - at < REPORT_DELAY_MS)
-    const room = this.loadReport?.rooms.find((other) => other.service === service)
-    const own: OwnView = { lagMs: this.loadReport?.lagMs ?? 0, waitMs: room?.waitMs ?? 0 }
+    this.recentOffers = this.recentOffers.filter(({ offeredAt }) => now - offeredAt < REPORT_DELAY_MS)
+    const capacity = this.loadReport?.rooms.find((other) => other.service === service)
+    const load: OwnView = { lagMs: this.loadReport?.lagMs ?? 0, waitMs: capacity?.waitMs ?? 0 }
     return {
       peer: this,
       zone: this.zone,
       toldAt: this.receivedAt,
-      isOpen: this.isOpen && room !== undefined,
+      isOpen: this.isOpen && capacity !== undefined,
       isStopping: this.loadReport?.stopping ?? false,
-      ...own,
-      freeMilli: room?.freeMilli ?? 0,
-      unseenMilli: this.recentOffers.reduce((sum, { milli }) => sum + milli, 0)
+      ...load,
+      freeMilli: capacity?.freeMilli ?? 0,
+      unseenMilli: this.recentOffers.reduce((sum, { cpuMilli }) => sum + cpuMilli, 0)
     }
   }
 }
--- a/packages/coordination/src/handoff/handedOnJobs.ts
+++ b/packages/coordination/src/handoff/handedOnJobs.ts
@@ -15,103 +15,115 @@
 import { OverloadWatch } from './overloadWatch.js'
 import type { HandOnLink, JobDispatcher } from './types.js'
 
-/** Why a job came back from the entry that it was handed to. */
+/** Why a job that was handed on (forwarded to another entry) was returned to this one. */
 export type ReturnReason = 'refused' | 'unfinished' | 'entry_lost'
 
-/** What handing on tells its owner, for logs and metrics. */
+/** Notifications for logs and metrics. */
 export interface HandOnEvents {
-  handedOn: (job: LeasedJob, to: PeerView, gainMs: number, newsMs: number, own: CallerView) => void
+  /** A job was handed on, for an expected gain, by a load report of this age. */
+  handedOn: (job: LeasedJob, to: PeerView, gainMs: number, reportAgeMs: number, ownLoad: CallerView) => void
+  /** The decision was to keep a job at this entry. */
   notHandedOn: (reason: KeepReason) => void
-  /** Its end was heard from the other entry, or its caller has gone. */
+  /** A job ended while it was handed on: the neighbour reported the end, or this entry cancelled or failed the job. */
   ended: (job: LeasedJob, end: LeasedJobEnd) => void
-  /** Nothing of it runs; it is placed here, or given up. */
+  /** A job that has not ended was returned, confirmed terminated; it is placed here, or fails. */
   returned: (job: LeasedJob, reason: ReturnReason, isPlaced: boolean) => void
+  /** A neighbour to which jobs are handed on was lost. */
   peerLost: (address: string, silentMs: number, jobs: number) => void
 }
 
-/** What handing on needs. */
+/** What `HandedOnJobs` depends on. */
 export interface HandedOnJobsOptions {
   clock: Clock
   zone: string
   times: LeaseTimes
+  /** Runs the jobs that stay at this entry. */
   dispatcher: JobDispatcher
   ownLoad: () => CallerView
   limits: () => HandOnLimits
   events: HandOnEvents
 }
 
-/** A neighbour that was silent for so long is given up: its jobs are of no use by then, and its news is old. */
+/** A neighbour from which nothing was received for this long counts as lost: answers to its jobs would be too late, and its load report is out of date. */
 const PEER_TIMEOUT_MS = 400
-/** The neighbour shows that it lives at a pace, and each time is answered; frames with ends between need no answer. */
+/** Shortest time between two echoes to a neighbour. Its regular frames are all echoed; those in between that report ends need no echo. */
 const ECHO_INTERVAL_MS = 20
-/** Longer payloads cost more bytes than a job gains. */
+/** Jobs with longer payloads are not handed on: sending the payload costs more than is gained. */
 const MAX_PAYLOAD_CHARS = 8192
-/** Ends that say nothing of the job itself: it may run again once nothing of it runs. */
+/** Reasons for which the host ends a job without a result of its own: the job may run again once it is confirmed terminated. */
 const UNFINISHED_REASONS: ReadonlySet<string> = new Set([REASONS.stopCut, REASONS.callerGone, REASONS.handOnLost])
 
-/** Its caller may send it again at once: nothing of it runs. */
-const HAND_ON_LOST: LeasedJobEnd = { type: 'failed', reason: REASONS.handOnLost, message: 'the entry that it was handed to did not end it' }
+/** The end of a job that its caller may send again at once, as nothing of it runs. */
+const HAND_ON_LOST: LeasedJobEnd = { type: 'failed', reason: REASONS.handOnLost, message: 'the entry that the job was handed on to did not finish it; nothing of it runs any more' }
 
-/** A job whose neighbour was lost. */
+/** A job whose neighbour was lost; nothing of it runs after `terminatedAt`. */
 interface TerminatingJob {
   job: LeasedJob
   terminatedAt: number
 }
 
 /**
- * Jobs of this entry's callers, dispatched here or handed to a neighbour. This
- * entry keeps the caller and the answer; the neighbour owns the starts.
+ * Jobs of this entry's callers, dispatched here or handed on to a neighbour
+ * (forwarded to another entry). This entry keeps the caller and the answer; the
+ * neighbour, the job's host, owns its starts.
  *
  * Invariant: a job that was handed on is dispatched here, or may be submitted
- * again, only after the neighbour said that nothing of it runs, or
- * `provedOverMs` after the last frame read from it. Nothing read later is
- * echoed, and the neighbour's agents act on echoes alone.
+ * again, only after the host has reported that nothing of it runs, or once the
+ * termination bound of the leases has passed since the last frame received from
+ * the host. Frames that arrive later are not echoed, and the host's agents run
+ * the job only as long as echoes renew their entry leases.
  */
 export class HandedOnJobs implements JobDispatcher {
   private readonly peers = new Set<HandOnPeer>()
-  /** Handed on and not proved over, by key. */
+  /** Jobs that are handed on and not confirmed terminated, by key. */
   private readonly jobs = new Map<string, LeasedJob>()
   private readonly terminating = new Set<TerminatingJob>()
-  /** Jobs that came back, as they are dispatched here. */
+  /** Returned jobs that this entry runs, each with the dispatcher's own job for it. */
   private readonly localJobs = new Map<LeasedJob, LeasedJob>()
   private readonly handedOnShare = new HandedOnShare()
   private readonly overloadWatch = new OverloadWatch()
 
   constructor (private readonly options: HandedOnJobsOptions) {}
 
-  /** Jobs that neighbours have, or may have. */
+  /** Number of jobs that are handed on and not confirmed terminated. */
   get outstanding (): number {
     return this.jobs.size
   }
 
-  /** True while streams to neighbours are called for. */
+  /** True while streams to neighbours should be open. */
   get needsStreams (): boolean {
     return this.options.limits().maxShare > 0 && this.overloadWatch.needsStreams(this.options.clock.now())
   }
 
-  /** How long a task of such a job takes, as learned. */
+  /** Run time of one task of such a job, in ms, as learned from earlier runs. */
   expectedMs = (spec: Pick<LeasedJobSpec, 'kind' | 'estimateMs'>): number => this.options.dispatcher.expectedMs(spec)
 
+  /**
+   * Hands a job on or dispatches it here. No job with its key may be known to `find`.
+   *
+   * @param onEnd - called once when the job ends
+   */
   submit (spec: LeasedJobSpec, onEnd: (end: LeasedJobEnd) => void): LeasedJob {
     const { clock, dispatcher } = this.options
     const now = clock.now()
-    const to = this.peers.size === 0 ? undefined : this.choose(spec, now)
-    this.handedOnShare.onArrival(to !== undefined, now)
-    if (to === undefined) return dispatcher.submit(spec, onEnd)
+    const peer = this.peers.size === 0 ? undefined : this.choosePeer(spec, now)
+    this.handedOnShare.onArrival(peer !== undefined, now)
+    if (peer === undefined) return dispatcher.submit(spec, onEnd)
     const job = createLeasedJob(spec, now, this.expectedMs(spec), onEnd)
     this.overloadWatch.onHandedOn(now)
     Object.assign(job, { queue: [], unproved: 1, mayHaveRun: job.count })
     this.jobs.set(job.key, job)
-    const offer = encodeOffer(to.addOffer(job, now), spec)
-    to.link.add((frame) => frame.offers.push(offer))
+    const offer = encodeOffer(peer.addOffer(job, now), spec)
+    peer.link.add((frame) => frame.offers.push(offer))
     return job
   }
 
-  /** The job under this key, also if only its last orders are not over. */
+  /** The job under this key, including one that has ended but is not confirmed terminated. */
   find (key: string): LeasedJob | undefined {
     return this.jobs.get(key) ?? this.options.dispatcher.find(key)
   }
 
+  /** Ends a job early, wherever it is; a job that has ended stays as it is. */
   cancel (job: LeasedJob, reason: Reason, message: string): void {
     const { dispatcher } = this.options
     if (this.jobs.get(job.key) !== job) return dispatcher.cancel(this.localJobs.get(job) ?? job, reason, message)
@@ -123,28 +135,28 @@
     this.finish(job, { type: 'failed', reason, message })
   }
 
-  /** Looks at what time has changed; to be called a few tens of times a second. */
+  /** Observes the load and applies timeouts and deadlines; to be called a few tens of times a second. */
   sweep (now: number): void {
     if (this.options.limits().maxShare > 0) this.overloadWatch.observe(this.options.ownLoad(), now)
     for (const peer of [...this.peers]) if (now - peer.receivedAt > PEER_TIMEOUT_MS) this.closed(peer)
     for (const job of [...this.jobs.values()]) {
       if (now >= job.deadlineAt) this.cancel(job, REASONS.deadline, 'the caller\'s deadline has passed')
     }
-    for (const lost of [...this.terminating]) {
-      if (now <= lost.terminatedAt) continue
-      this.terminating.delete(lost)
-      this.reclaim(lost.job, 'entry_lost')
+    for (const terminating of [...this.terminating]) {
+      if (now <= terminating.terminatedAt) continue
+      this.terminating.delete(terminating)
+      this.reclaim(terminating.job, 'entry_lost')
     }
   }
 
-  /** A stream with a neighbour stands. */
+  /** Registers a neighbour whose stream is open. */
   open (address: string, zone: string, link: HandOnLink<CallerFrame>): HandOnPeer {
     const peer = new HandOnPeer(address, zone, link, this.options.clock.now())
     this.peers.add(peer)
     return peer
   }
 
-  /** The stream is over, or the neighbour was silent for too long: nothing it sends counts any more. */
+  /** Removes a neighbour whose stream has ended or that timed out: frames that it sends later are ignored. */
   closed (peer: HandOnPeer): void {
     if (!this.peers.delete(peer)) return
     peer.isOpen = false
@@ -155,6 +167,7 @@
     for (const job of peer.offeredJobs.values()) this.terminating.add({ job, terminatedAt: peer.receivedAt + provedOverMs(times) })
   }
 
+  /** Handles a frame from a neighbour. */
   onFrame (peer: HandOnPeer, { stampMs, ends, overs, news }: HostFrame): void {
     if (!peer.isOpen) return
     const now = this.options.clock.now()
@@ -164,20 +177,20 @@
     for (const offer of overs) this.onTerminated(peer, offer)
   }
 
-  /** Fills in what every frame carries. */
+  /** Adds the echoed timestamp to a frame that is about to be sent. */
   fillFrame (peer: HandOnPeer, frame: CallerFrame): void {
     frame.echoStampMs = peer.stampMs
     peer.echoedAt = this.options.clock.now()
   }
 
-  private choose (spec: LeasedJobSpec, now: number): HandOnPeer | undefined {
+  private choosePeer (spec: LeasedJobSpec, now: number): HandOnPeer | undefined {
     if (spec.payload.length > MAX_PAYLOAD_CHARS || this.jobs.has(submissionKey(spec.workspace, spec.id))) return undefined
-    const { zone, ownLoad: own, limits, events } = this.options
+    const { zone, ownLoad, limits, events } = this.options
     const decision = handOn({ count: spec.count, needMilli: spec.count * spec.need.cpuMilli }, {
       now,
       zone,
       isShort: this.overloadWatch.isOverloaded(now),
-      own: own(),
+      own: ownLoad(),
       neighbours: [...this.peers].map((peer) => peer.viewOf(spec.service, now)),
       outstanding: this.jobs.size,
       share: this.handedOnShare.read(now)
@@ -186,25 +199,25 @@
       events.notHandedOn(decision.reason)
       return undefined
     }
-    events.handedOn(createLeasedJob(spec, now, this.expectedMs(spec), () => {}), decision.to, decision.gainMs, Math.round(now - decision.to.toldAt), own())
+    events.handedOn(createLeasedJob(spec, now, this.expectedMs(spec), () => {}), decision.to, decision.gainMs, Math.round(now - decision.to.toldAt), ownLoad())
     return decision.to.peer
   }
 
-  private onEnd ({ offeredJobs: out }: HandOnPeer, { offer, state, reason, message }: HandOnEnd): void {
-    const job = out.get(offer)
+  private onEnd ({ offeredJobs }: HandOnPeer, { offer, state, reason, message }: HandOnEnd): void {
+    const job = offeredJobs.get(offer)
     if (job === undefined || job.end !== undefined) return
     if (state === HAND_ON_ENDS.complete) this.finish(job, { type: 'complete' })
     else if (state === HAND_ON_ENDS.failed && !UNFINISHED_REASONS.has(reason)) this.finish(job, { type: 'failed', reason: reason as Reason, message })
     else if (state === HAND_ON_ENDS.refused) job.mayHaveRun = 0
   }
 
-  private onTerminated ({ offeredJobs: out }: HandOnPeer, offer: number): void {
-    const job = out.get(offer)
-    out.delete(offer)
+  private onTerminated ({ offeredJobs }: HandOnPeer, offer: number): void {
+    const job = offeredJobs.get(offer)
+    offeredJobs.delete(offer)
     if (job !== undefined) this.reclaim(job, job.mayHaveRun === 0 ? 'refused' : 'unfinished')
   }
 
-  /** Nothing of it runs at the neighbour any more, and nothing ever will. */
+  /** Takes back a job that is confirmed terminated at the neighbour. */
   private reclaim (job: LeasedJob, reason: ReturnReason): void {
     this.jobs.delete(job.key)
     job.unproved = 0
@@ -216,18 +229,18 @@
   private placeLocally (job: LeasedJob, reason: ReturnReason): void {
     const { clock, dispatcher, events } = this.options
     const now = clock.now()
-    const isUntouched = reason === 'refused'
-    // Nobody may have it under its key, and what has run is not begun anew for an answer of no use.
-    const isPlaced = dispatcher.find(job.key) === undefined && (isUntouched || now + job.expectedMs < job.uselessAt)
+    const isNotStarted = reason === 'refused'
+    // Its key must be free here, and a job that may have run is not run again for an answer after its expiry.
+    const isPlaced = dispatcher.find(job.key) === undefined && (isNotStarted || now + job.expectedMs < job.uselessAt)
     events.returned(job, reason, isPlaced)
     if (!isPlaced) return this.finish(job, HAND_ON_LOST)
-    const inner = dispatcher.submit(remainingSpec(job, now - job.arrivedAt), (end) => {
+    const localJob = dispatcher.submit(remainingSpec(job, now - job.arrivedAt), (end) => {
       this.localJobs.delete(job)
-      // A refusal says that nothing was started.
-      job.end = end.type === 'refused' && !isUntouched ? HAND_ON_LOST : end
+      // A refusal would tell the caller that nothing was started, but tasks may have run at the neighbour.
+      job.end = end.type === 'refused' && !isNotStarted ? HAND_ON_LOST : end
       job.onEnd(job.end)
     })
-    if (inner.end === undefined) this.localJobs.set(job, inner)
+    if (localJob.end === undefined) this.localJobs.set(job, localJob)
   }
 
   private finish (job: LeasedJob, end: LeasedJobEnd): void {
--- a/packages/coordination/src/handoff/hostedJobs.ts
+++ b/packages/coordination/src/handoff/hostedJobs.ts
@@ -12,63 +12,73 @@
 import { reportServiceLoad } from './loadReport.js'
 import type { HandOnLink, JobDispatcher } from './types.js'
 
-/** Another entry that hands work to this one, on one stream. */
+/** An entry that hands jobs on to this one (forwards them), as seen on one stream. */
 export interface OriginPeer {
   readonly entryId: string
   readonly link: HandOnLink<HostFrame>
   readonly originEntry: Sponsor
-  /** Its jobs by the number of their offer, until nothing of them runs. */
+  /** Its jobs that are not confirmed terminated, by the number of their offer. */
   readonly jobs: Map<number, LeasedJob>
+  /** When the last regular frame was sent to it. */
   sentAt: number
-  /** When a frame of it was read last. */
+  /** When its last frame was received. */
   receivedAt: number
 }
 
-/** Why an offer was not taken. */
+/** Why an offer was refused; `known`: this entry has a job with the same key. */
 export type OfferRefusal = HostRefusal | 'known'
 
-/** What hosting needs. */
+/** What `HostedJobs` depends on. */
 export interface HostedJobsOptions {
   clock: Clock
   dispatcher: JobDispatcher
   fleet: LeasedFleet
-  /** Finds a job under this key wherever this entry has it. */
+  /** Finds a job by its key, whether it runs here or is handed on to another entry. */
   find: (key: string) => LeasedJob | undefined
   ownLoad: () => OwnView
   isStopping: () => boolean
   events: {
-    hosted: (entryId: string, job: LeasedJob, aliveMs: number) => void
-    refused: (entryId: string, submission: string, reason: OfferRefusal, aliveMs: number) => void
-    /** An entry fell silent, or its stream ended, with jobs here; they are stopped. */
+    /** An offer was accepted, `silentMs` after the origin entry was last known to be alive. */
+    hosted: (entryId: string, job: LeasedJob, silentMs: number) => void
+    refused: (entryId: string, submission: string, reason: OfferRefusal, silentMs: number) => void
+    /** An origin entry timed out, or its stream ended, while its jobs run here; they are cancelled. */
     originEntryLost: (entryId: string, silentMs: number, jobs: number) => void
   }
 }
 
-/** A host shows that it lives this often, and its stamp so asks the other entry to do so; a look more may lie between. */
+/**
+ * Interval of regular frames to an origin entry. They show that this entry is
+ * alive, and the echo of their timestamp that the origin entry is. The time
+ * between two of them may be longer by the interval of `sweep`.
+ */
 const FRAME_INTERVAL_MS = 50
 /**
- * An entry that was not alive for so long for all that is known has its jobs
- * stopped here: before their agents' authority, which also keeps this entry's
- * own tasks, has lapsed for want of echoes.
+ * An origin entry that was last known to be alive this long ago has its jobs
+ * here cancelled. While they run, echoes to their agents are limited; without
+ * the cancellation the agents' entry leases, on which this entry's own tasks
+ * depend as well, would expire.
  */
 export const ORIGIN_TIMEOUT_MS = 300
-/** A stream on which nothing was read for so long is ended. */
+/** A stream on which no frame was received for this long is closed. */
 const STREAM_TIMEOUT_MS = 2000
 
-/** Jobs that other entries handed to this one: it owns their starts, the others keep callers and answers. */
+/**
+ * Jobs that other entries have handed on to this one (forwarded to it). This
+ * entry owns their starts; the origin entries keep the callers and the answers.
+ */
 export class HostedJobs {
   private readonly peers = new Set<OriginPeer>()
 
   constructor (private readonly options: HostedJobsOptions) {}
 
-  /** Jobs that are not over. */
+  /** Number of hosted jobs that are not confirmed terminated. */
   get size (): number {
     let size = 0
     for (const { jobs } of this.peers) size += jobs.size
     return size
   }
 
-  /** Another entry has opened a stream. */
+  /** Registers an origin entry that has opened a stream. */
   open ({ entryId }: HandOnHello, link: HandOnLink<HostFrame>): OriginPeer {
     const peer: OriginPeer = { entryId, link, originEntry: { aliveAt: -Infinity }, jobs: new Map(), sentAt: -Infinity, receivedAt: this.options.clock.now() }
     this.peers.add(peer)
@@ -77,35 +87,36 @@
     return peer
   }
 
-  /** The stream is over: nobody takes the answers any more. */
+  /** Removes an origin entry whose stream has ended, and cancels its jobs, as nobody receives their answers. */
   closed (peer: OriginPeer): void {
     if (!this.peers.delete(peer)) return
     this.options.fleet.echoes.end(peer.originEntry)
     this.onOriginLost(peer)
   }
 
+  /** Handles a frame from an origin entry. */
   onFrame (peer: OriginPeer, { echoStampMs, offers, withdrawals }: CallerFrame): void {
     const now = this.options.clock.now()
     peer.receivedAt = now
-    // A stamp that this process has not made yet proves nothing.
+    // A timestamp later than this process's clock was not sent by this process and proves nothing.
     if (echoStampMs > peer.originEntry.aliveAt && echoStampMs > 0 && echoStampMs <= now) peer.originEntry.aliveAt = echoStampMs
     for (const offer of offers) this.onOffer(peer, offer, now)
-    for (const offer of withdrawals) this.cancel(peer.jobs.get(offer), REASONS.callerGone, 'the job was withdrawn')
+    for (const offer of withdrawals) this.cancel(peer.jobs.get(offer), REASONS.callerGone, 'the origin entry withdrew the job')
   }
 
-  /** Fills in what every frame carries, as it leaves. */
-  fillFrame ({ originEntry: sponsor }: OriginPeer, frame: HostFrame): void {
-    const { clock, fleet, ownLoad: own, isStopping } = this.options
+  /** Adds the present timestamp and load report to a frame that is about to be sent. */
+  fillFrame ({ originEntry }: OriginPeer, frame: HostFrame): void {
+    const { clock, fleet, ownLoad, isStopping } = this.options
     const now = clock.now()
     frame.stampMs = now
     frame.news = create(HandOnNewsSchema, {
-      lagMs: own().lagMs,
+      lagMs: ownLoad().lagMs,
       stopping: isStopping(),
-      rooms: [...fleet.services.keys()].map((service) => ({ service, ...reportServiceLoad(fleet, service, now, sponsor) }))
+      rooms: [...fleet.services.keys()].map((service) => ({ service, ...reportServiceLoad(fleet, service, now, originEntry) }))
     })
   }
 
-  /** Looks at what time has changed. */
+  /** Applies timeouts and sends regular frames; to be called a few tens of times a second. */
   sweep (now: number): void {
     for (const peer of [...this.peers]) {
       if (now - peer.receivedAt > STREAM_TIMEOUT_MS) {
@@ -120,17 +131,17 @@
     }
   }
 
-  /** Stops all of them, as the entry's grace time is over. */
+  /** Cancels all hosted jobs; to be called when the grace time of the entry's stop is over. */
   cutAll (): void {
     for (const { jobs } of this.peers) for (const job of jobs.values()) this.cancel(job, REASONS.stopCut, 'the entry stopped before the job ended')
   }
 
   private onOffer (peer: OriginPeer, offer: HandOnOffer, now: number): void {
     const { events } = this.options
-    const aliveMs = Math.round(now - peer.originEntry.aliveAt)
+    const silentMs = Math.round(now - peer.originEntry.aliveAt)
     const refusal = this.findRefusal(peer, offer, now)
     if (refusal !== undefined) {
-      events.refused(peer.entryId, offer.submission, refusal, aliveMs)
+      events.refused(peer.entryId, offer.submission, refusal, silentMs)
       peer.link.add((frame) => {
         frame.ends.push(create(HandOnEndSchema, { offer: offer.offer, state: HAND_ON_ENDS.refused, reason: REASONS.overload, message: refusal }))
         frame.overs.push(offer.offer)
@@ -139,16 +150,16 @@
     }
     const job = this.options.dispatcher.submit(decodeOffer(offer, peer.originEntry), (end) => this.onEnd(peer, offer.offer, end))
     peer.jobs.set(offer.offer, job)
-    events.hosted(peer.entryId, job, aliveMs)
-    // A refused job is over before it could say so.
+    events.hosted(peer.entryId, job, silentMs)
+    // The dispatcher does not keep a job that it refuses, and never calls its termination handler.
     if (this.options.dispatcher.find(job.key) === job) job.onOver = () => this.onTerminated(peer, offer.offer)
     else this.onTerminated(peer, offer.offer)
   }
 
-  private findRefusal ({ originEntry: sponsor }: OriginPeer, { workspace, submission }: HandOnOffer, now: number): OfferRefusal | undefined {
-    const { find, ownLoad: own, isStopping } = this.options
+  private findRefusal ({ originEntry }: OriginPeer, { workspace, submission }: HandOnOffer, now: number): OfferRefusal | undefined {
+    const { find, ownLoad, isStopping } = this.options
     if (find(submissionKey(workspace, submission)) !== undefined) return 'known'
-    return findHostRefusal({ own: own(), isStopping: isStopping(), hosted: this.size, aliveAt: sponsor.aliveAt, now })
+    return findHostRefusal({ own: ownLoad(), isStopping: isStopping(), hosted: this.size, aliveAt: originEntry.aliveAt, now })
   }
 
   private onEnd ({ link }: OriginPeer, offer: number, end: LeasedJobEnd): void {
@@ -160,11 +171,11 @@
     link.add((frame) => frame.overs.push(offer))
   }
 
-  private onOriginLost ({ entryId, jobs, originEntry: sponsor }: OriginPeer): void {
+  private onOriginLost ({ entryId, jobs, originEntry }: OriginPeer): void {
     const running = [...jobs.values()].filter(({ end }) => end === undefined)
     if (running.length === 0) return
-    this.options.events.originEntryLost(entryId, Math.round(this.options.clock.now() - sponsor.aliveAt), running.length)
-    for (const job of running) this.cancel(job, REASONS.handOnLost, 'the entry that keeps the caller fell silent')
+    this.options.events.originEntryLost(entryId, Math.round(this.options.clock.now() - originEntry.aliveAt), running.length)
+    for (const job of running) this.cancel(job, REASONS.handOnLost, 'the origin entry, which has the caller, timed out or closed its stream')
   }
 
   private cancel (job: LeasedJob | undefined, reason: Reason, message: string): void {
--- a/packages/coordination/src/handoff/loadReport.ts
+++ b/packages/coordination/src/handoff/loadReport.ts
@@ -2,19 +2,19 @@
 import type { Sponsor } from '../leased/heldEchoes.js'
 import type { LeasedFleet } from '../leased/leasedFleet.js'
 
-/** What an entry can do for a job of a service. */
+/** An entry's free capacity and queueing delay for one service, as it reports them to other entries. */
 export interface ServiceLoadReport {
-  /** Its part of the free room that endpoints told it, in thousandths of a core. */
+  /** The entry's share of the free capacity that agents have reported, in thousandths of a core. */
   freeMilli: number
-  /** How long a job of the least priority that waits would wait, in ms. */
+  /** Forecast wait of a job of the lowest priority in the queue, in ms. */
   waitMs: number
 }
 
 /**
- * Room and wait of a service at this entry.
+ * Reports this entry's free capacity and wait for a service.
  *
  * @param now - in ms, on the process's clock
- * @param originEntry - for whose jobs; only agents count where they may start now
+ * @param originEntry - counts only agents at which this entry's jobs may start now; all agents if undefined
  */
 export const reportServiceLoad = (fleet: LeasedFleet, service: string, now: number, originEntry?: Sponsor): ServiceLoadReport => {
   const { queue } = fleet.serviceOf(service)
@@ -25,6 +25,6 @@
   return { freeMilli: Math.round(freeMilli), waitMs: Math.round(waitMs) }
 }
 
-/** The longest wait of all services, in ms. */
+/** The longest forecast wait of all services, in ms. */
 export const longestWait = (fleet: LeasedFleet, now: number): number =>
   [...fleet.services.keys()].reduce((longest, service) => Math.max(longest, reportServiceLoad(fleet, service, now).waitMs), 0)
--- a/packages/coordination/src/handoff/loopLag.test.ts
+++ b/packages/coordination/src/handoff/loopLag.test.ts
@@ -2,20 +2,20 @@
 import { runsShort } from '@hazellift/decisions'
 import { LoopLag } from './loopLag.js'
 
-const PACE_MS = 25
+const INTERVAL_MS = 25
 
-describe('how late an event loop is', () => {
-  const cases: Array<{ name: string, pauses: number[], isShort: boolean }> = [
-    { name: 'a timer on time', pauses: Array.from({ length: 40 }, () => 0), isShort: false },
-    { name: 'a little late each time', pauses: Array.from({ length: 40 }, () => 3), isShort: false },
-    { name: 'one long pause', pauses: [0, 0, 900, 0, 0], isShort: false },
-    { name: 'late each time', pauses: Array.from({ length: 40 }, () => 20), isShort: true },
-    { name: 'a processor that is taken away for two thirds of each tenth of a second', pauses: Array.from({ length: 60 }, (_, index) => index % 2 === 0 ? 50 : 0), isShort: true }
+describe('LoopLag', () => {
+  const cases: Array<{ name: string, pauses: number[], isOverloaded: boolean }> = [
+    { name: 'an event loop whose timer fires on time is not overloaded', pauses: Array.from({ length: 40 }, () => 0), isOverloaded: false },
+    { name: 'an event loop that is a little late each time is not overloaded', pauses: Array.from({ length: 40 }, () => 3), isOverloaded: false },
+    { name: 'a single long pause does not make an event loop overloaded', pauses: [0, 0, 900, 0, 0], isOverloaded: false },
+    { name: 'an event loop that is late each time is overloaded', pauses: Array.from({ length: 40 }, () => 20), isOverloaded: true },
+    { name: 'a process without a processor for two thirds of each 100 ms is overloaded', pauses: Array.from({ length: 60 }, (_, index) => index % 2 === 0 ? 50 : 0), isOverloaded: true }
   ]
-  it.each(cases)('$name', ({ pauses, isShort }) => {
-    const lag = new LoopLag(PACE_MS)
+  it.each(cases)('$name', ({ pauses, isOverloaded }) => {
+    const lag = new LoopLag(INTERVAL_MS)
     let now = 0
-    for (const pause of pauses) lag.onTick(now += PACE_MS + pause)
-    expect(runsShort({ lagMs: lag.ms, waitMs: 0 }, false)).toBe(isShort)
+    for (const pause of pauses) lag.onTick(now += INTERVAL_MS + pause)
+    expect(runsShort({ lagMs: lag.ms, waitMs: 0 }, false)).toBe(isOverloaded)
   })
 })
--- a/packages/coordination/src/handoff/loopLag.ts
+++ b/packages/coordination/src/handoff/loopLag.ts
@@ -1,24 +1,28 @@
-/** Share of each look in the figure: a single pause, as of the collector of garbage or at the start, says little. */
+/** Weight of each sample; low, as a single pause, such as a garbage collection or one at process start, is no sign of overload. */
 const SMOOTHING_FACTOR = 1 / 16
-/** A pause counts no more than this. */
+/** A longer delay counts as this much. */
 const MAX_SAMPLE_MS = 100
 
-/** How late a process's event loop is, by a timer that should fire at a pace. */
+/** Measures how late a process's event loop is, by the delay of a periodic timer. */
 export class LoopLag {
   private lastTickAt: number | undefined
   private smoothedMs = 0
 
   /**
-   * @param intervalMs - between two calls of `onTick`, as asked for
+   * @param intervalMs - the timer's nominal interval, at which `onTick` is to be called
    */
   constructor (private readonly intervalMs: number) {}
 
-  /** In ms; 0 at first. */
+  /** The smoothed delay in ms; 0 until the second tick. */
   get ms (): number {
     return this.smoothedMs
   }
 
-  /** The timer has fired. */
+  /**
+   * Adds a sample; to be called each time the timer fires.
+   *
+   * @param now - in ms, on the process's clock
+   */
   onTick (now: number): void {
     if (this.lastTickAt !== undefined) {
       const lateMs = Math.min(MAX_SAMPLE_MS, Math.max(0, now - this.lastTickAt - this.intervalMs))
--- a/packages/coordination/src/handoff/offers.ts
+++ b/packages/coordination/src/handoff/offers.ts
@@ -5,10 +5,10 @@
 import type { LeasedJobSpec } from '../leased/leasedJob.js'
 
 /**
- * What is left of a job for which time has passed since it arrived.
+ * A job's spec with its slack and its deadline reduced by the time since it arrived.
  *
- * @param spec - as it arrived
- * @param elapsedMs - since then
+ * @param spec - as the job arrived
+ * @param elapsedMs - time since it arrived
  */
 export const remainingSpec = (spec: LeasedJobSpec, elapsedMs: number): LeasedJobSpec => ({
   ...spec,
@@ -16,7 +16,11 @@
   deadlineMs: Math.max(0, spec.deadlineMs - elapsedMs)
 })
 
-/** A job as the message that offers it to another entry. */
+/**
+ * Encodes a job as the message that offers it to another entry.
+ *
+ * @param offer - the number of the offer on its stream
+ */
 export const encodeOffer = (offer: number, { id, need, objective, ...spec }: LeasedJobSpec): HandOnOffer => create(HandOnOfferSchema, {
   offer,
   workspace: spec.workspace,
@@ -37,7 +41,11 @@
   deadlineMs: spec.deadlineMs
 })
 
-/** The job that a message offers. */
+/**
+ * Decodes a job that another entry offers.
+ *
+ * @param originEntry - the entry that offers it
+ */
 export const decodeOffer = (offer: HandOnOffer, originEntry: Sponsor): LeasedJobSpec => ({
   workspace: offer.workspace,
   id: offer.submission,
--- a/packages/coordination/src/handoff/overloadWatch.ts
+++ b/packages/coordination/src/handoff/overloadWatch.ts
@@ -1,15 +1,18 @@
 import { needsHelp } from '@hazellift/decisions'
 import type { CallerView } from '@hazellift/decisions'
 
-/** A moment of it calls for nothing. */
+/** A shorter overload is no reason to hand jobs on. */
 const MIN_OVERLOAD_MS = 300
-/** Streams to neighbours are kept for so long after the need. */
+/** Streams to neighbours stay open for this long after the overload. */
 const STREAM_LINGER_MS = 5000
-/** Where nothing could be handed on for so long, the others are no better off: streams are ended, and tried again later. */
+/**
+ * If no job could be handed on for `TRIAL_MS`, the neighbours are overloaded
+ * too: the streams are closed, and not opened again for `PAUSE_MS`.
+ */
 const TRIAL_MS = 2000
 const PAUSE_MS = 10_000
 
-/** Whether an entry runs short, for longer than a moment, and whether its neighbours can help. */
+/** Decides whether an entry is overloaded for long enough to hand jobs on, and whether streams to its neighbours are worth their cost. */
 export class OverloadWatch {
   private needsHelpNow = false
   private needsHelpSince = 0
@@ -18,7 +21,7 @@
   private handedOnAt = -Infinity
   private pausedUntil = -Infinity
 
-  /** Looks at what the entry observes of itself; to be called a few tens of times a second. */
+  /** Evaluates the entry's own load; to be called a few tens of times a second. */
   observe (ownLoad: CallerView, now: number): void {
     const neededHelp = this.needsHelpNow
     this.needsHelpNow = needsHelp(ownLoad, neededHelp)
@@ -29,17 +32,17 @@
     if (now - Math.max(this.trialSince, this.needsHelpSince, this.handedOnAt) > TRIAL_MS) this.pausedUntil = now + PAUSE_MS
   }
 
-  /** A job was handed on. */
+  /** Notes that a job was handed on: the streams are of use. */
   onHandedOn (now: number): void {
     this.handedOnAt = now
   }
 
-  /** True while work is to be handed on. */
+  /** True while jobs should be handed on. */
   isOverloaded (now: number): boolean {
     return this.needsHelpNow && now - this.needsHelpSince >= MIN_OVERLOAD_MS
   }
 
-  /** True while streams to neighbours are worth what they cost. */
+  /** True while streams to neighbours should be open. */
   needsStreams (now: number): boolean {
     return now >= this.pausedUntil && now - this.overloadedAt < STREAM_LINGER_MS
   }
--- a/packages/coordination/src/handoff/returnedStarts.ts
+++ b/packages/coordination/src/handoff/returnedStarts.ts
@@ -1,7 +1,7 @@
-/** Starts over which the figure is remembered. */
+/** Number of starts over which the share decays. */
 const DECAY_STARTS = 100
 
-/** Which part of an entry's starts came back, as the room that it knew of was gone. */
+/** Share of an entry's recent starts that agents returned because the free capacity that the entry knew of had been taken. */
 export class ReturnedStarts {
   private smoothedShare = 0
 
@@ -10,12 +10,12 @@
     return this.smoothedShare
   }
 
-  /** So many starts were sent. */
+  /** Counts starts that were sent. */
   onSent (count: number): void {
     this.smoothedShare *= (1 - 1 / DECAY_STARTS) ** count
   }
 
-  /** One of them found no room. */
+  /** Counts a start that was returned for lack of capacity. */
   onReturned (): void {
     this.smoothedShare = Math.min(1, this.smoothedShare + 1 / DECAY_STARTS)
   }
--- a/packages/coordination/src/handoff/types.ts
+++ b/packages/coordination/src/handoff/types.ts
@@ -1,11 +1,11 @@
 import type { LeasedDispatcher } from '../leased/leasedDispatcher.js'
 
-/** What takes jobs on, finds and ends them. */
+/** Accepts ephemeral jobs, finds them by key and cancels them. */
 export type JobDispatcher = Pick<LeasedDispatcher, 'submit' | 'find' | 'cancel' | 'expectedMs'>
 
-/** One side's way to the other, as the module uses it. */
+/** The sending side of a stream between two entries on which jobs are handed on. */
 export interface HandOnLink<Frame> {
-  /** Adds to the next frame. */
-  add: (add: (frame: Frame) => void) => void
+  /** Applies a change to the next frame; the frame is sent even if the change adds nothing. */
+  add: (change: (frame: Frame) => void) => void
   close: () => void
 }
--- a/packages/coordination/tests/handoff/handOn.test.ts
+++ b/packages/coordination/tests/handoff/handOn.test.ts
@@ -4,10 +4,11 @@
 import { overlaps } from '../leased/fakeEndpoint.js'
 import { HandOnNetwork } from './handOnNetwork.js'
 
+/** Delay that callers keep before they send a job again; longer than the termination bound. */
 const RESEND_MS = 1300
-/** Agents and the two entries know each other, and echoes are held back. */
+/** After this time agents and entries are connected, and echoes to agents are limited. */
 const WARM_UP_MS = 1000
-/** An entry that stood still has its sessions again. */
+/** Time in which an entry that was suspended has its sessions open again. */
 const RECONNECT_MS = 100
 const OBJECTIVE = { stretch: 20, slackMs: 2000, lateFactor: 3 }
 
@@ -21,16 +22,20 @@
 
 const countRuns = ({ leased: { endpoints } }: HandOnNetwork): number => endpoints.reduce((sum, { past, open }) => sum + past.length + open.length, 0)
 
-/** How old the stamp is that was echoed last, at the agent where it is oldest. */
+/** Age of the timestamp that an entry echoed last to an agent, in ms; the highest of all its agents. */
 const oldestEchoAgeMs = ({ leased: { clock, entries } }: HandOnNetwork, entry: number): number =>
   Math.max(...[...entries[entry]!.dispatcher.fleet.agents.values()].map(({ echoedStampMs }) => clock.now() - echoedStampMs))
 
-/** Stamps echoed to agents of entry 1 that run work of entry 0, later than entry 0 is known to have lived: the agents would run it on for too long. */
+/**
+ * By how many ms timestamps echoed by entry 1 are later than the time at which
+ * entry 0 was last known to be alive, at agents that run jobs of entry 0. Such
+ * an agent would run them for too long after entry 0 has died.
+ */
 const lateEchoes = ({ leased: { entries } }: HandOnNetwork): number[] =>
   [...entries[1]!.dispatcher.fleet.agents.values()].flatMap(({ echoedStampMs, sent }) =>
     [...sent.values()].flatMap(({ job: { sponsor } }) => sponsor !== undefined && echoedStampMs > sponsor.aliveAt ? [echoedStampMs - sponsor.aliveAt] : []))
 
-/** Moves time on in small steps and looks at every echo. */
+/** Advances the time in small steps and checks after each that no echo is late. */
 const advanceCheckingEchoes = async (network: HandOnNetwork, ms: number): Promise<void> => {
   for (let passed = 0; passed < ms; passed += 5) {
     await network.advance(5)
@@ -38,12 +43,12 @@
   }
 }
 
-/** The caller's entry has last been alive then, on the common clock. */
+/** When entry 1 last knew the origin entry of its hosted jobs to be alive, on the common clock. */
 const originAliveAt = ({ leased: { entries } }: HandOnNetwork): number => Math.max(...[...entries[1]!.dispatcher.fleet.agents.values()]
   .flatMap(({ sent }) => [...sent.values()].map(({ job: { sponsor } }) => sponsor?.aliveAt ?? -Infinity)))
 
-describe('work handed on', () => {
-  it('a late entry hands its jobs to its neighbour, which runs them once', async () => {
+describe('jobs handed on to another entry', () => {
+  it('an entry with a late event loop hands its jobs on to its neighbour, which runs each of them once', async () => {
     const network = await createNetwork()
     for (let job = 0; job < 4; job++) submit(network, 0, `j${job}`, 1)
     await network.advance(400)
@@ -55,11 +60,11 @@
   })
 
   const bounds: Array<{ name: string, prepare: (network: HandOnNetwork) => void, handedOn: number }> = [
-    { name: 'an entry with time and room hands nothing on', prepare: ({ entries }) => { entries[0]!.lagMs = 0 }, handedOn: 0 },
-    { name: 'nor does one whose operator has turned it off', prepare: (network) => { network.limits = { maxOutstanding: 100, maxShare: 0 } }, handedOn: 0 },
-    { name: 'no more at once than the bound', prepare: (network) => { network.limits = { maxOutstanding: 1, maxShare: 1.1 } }, handedOn: 1 },
-    { name: 'nothing to a neighbour that is late itself', prepare: ({ entries }) => { entries[1]!.lagMs = 40 }, handedOn: 0 },
-    { name: 'nothing to one that stops', prepare: ({ entries }) => { entries[1]!.isStopping = true }, handedOn: 0 }
+    { name: 'an entry whose event loop is on time hands nothing on', prepare: ({ entries }) => { entries[0]!.lagMs = 0 }, handedOn: 0 },
+    { name: 'an entry whose operator has disabled handing on hands nothing on', prepare: (network) => { network.limits = { maxOutstanding: 100, maxShare: 0 } }, handedOn: 0 },
+    { name: 'an entry hands on no more jobs at once than its limit', prepare: (network) => { network.limits = { maxOutstanding: 1, maxShare: 1.1 } }, handedOn: 1 },
+    { name: 'an entry hands nothing on to a neighbour that is overloaded itself', prepare: ({ entries }) => { entries[1]!.lagMs = 40 }, handedOn: 0 },
+    { name: 'an entry hands nothing on to a neighbour that is stopping', prepare: ({ entries }) => { entries[1]!.isStopping = true }, handedOn: 0 }
   ]
   it.each(bounds)('$name', async ({ prepare, handedOn }) => {
     const network = await createNetwork()
@@ -72,7 +77,7 @@
     expect(countRuns(network)).toBe(3)
   })
 
-  it('a job is not handed on twice', async () => {
+  it('a job that was handed on is not handed on again by a neighbour whose event loop is a little late', async () => {
     const network = await createNetwork()
     network.entries[1]!.lagMs = 7
     submit(network, 0, 'j', 1)
@@ -81,7 +86,7 @@
     expect(countRuns(network)).toBe(1)
   })
 
-  it('a job that the neighbour has under its key is refused there, and placed here', async () => {
+  it('a job whose key the neighbour already has is refused there and placed at its own entry', async () => {
     const network = await createNetwork()
     for (const endpoint of network.leased.endpoints) endpoint.runMs = 500
     const { leave } = submit(network, 1, 'j', 1)
@@ -93,12 +98,12 @@
     expect(network.leased.ends.get('j')).toEqual({ type: 'complete' })
   })
 
-  /** What happens while a job runs that was handed on. */
+  /** Faults while a job that was handed on runs at the neighbour. */
   const faults: Array<{ name: string, act: (network: HandOnNetwork) => void | Promise<void>, returned: string[] }> = [
     { name: 'the neighbour dies', act: (network) => network.kill(1), returned: ['entry_lost placed'] },
-    { name: 'the neighbour stands still', act: (network) => network.freeze(1, true), returned: ['entry_lost placed'] },
+    { name: 'the neighbour is suspended', act: (network) => network.freeze(1, true), returned: ['entry_lost placed'] },
     {
-      name: 'the neighbour stands still, and wakes with what it had been sent',
+      name: 'the neighbour is suspended, and resumes with the frames that were sent to it',
       act: async (network) => {
         network.freeze(1, true)
         await network.advance(1250)
@@ -106,11 +111,11 @@
       },
       returned: ['entry_lost placed']
     },
-    { name: 'the neighbour is not heard', act: (network) => network.cutStream({ toCaller: true }), returned: ['entry_lost placed'] },
-    { name: 'the caller\'s entry is not heard', act: (network) => network.cutStream({ toHost: true }), returned: ['unfinished placed'] },
-    { name: 'neither hears the other', act: (network) => network.cutStream({ toHost: true, toCaller: true }), returned: ['entry_lost placed'] },
+    { name: 'frames from the neighbour are delayed', act: (network) => network.cutStream({ toCaller: true }), returned: ['entry_lost placed'] },
+    { name: 'frames from the origin entry are delayed', act: (network) => network.cutStream({ toHost: true }), returned: ['unfinished placed'] },
+    { name: 'frames are delayed both ways', act: (network) => network.cutStream({ toHost: true, toCaller: true }), returned: ['entry_lost placed'] },
     {
-      name: 'neither hears the other for a moment',
+      name: 'frames are delayed both ways for 100 ms',
       act: async (network) => {
         network.cutStream({ toHost: true, toCaller: true })
         await network.advance(100)
@@ -120,9 +125,9 @@
     },
     { name: 'an agent dies', act: ({ leased }) => leased.killAgent(0), returned: [] },
     { name: 'an agent is cut off from the neighbour', act: ({ leased }) => leased.cut(0, 1, true), returned: [] },
-    { name: 'the neighbour is cut', act: ({ entries }) => entries[1]!.host.cutAll(), returned: ['unfinished placed'] }
+    { name: 'the neighbour cancels all hosted jobs', act: ({ entries }) => entries[1]!.host.cutAll(), returned: ['unfinished placed'] }
   ]
-  it.each(faults)('$name: no two runs overlap, and the job ends', async ({ act, returned }) => {
+  it.each(faults)('$name: no two runs overlap, and the job completes', async ({ act, returned }) => {
     const network = await createNetwork()
     for (const endpoint of network.leased.endpoints) endpoint.runMs = 900
     submit(network, 0, 'j', 3)
@@ -136,7 +141,7 @@
     expect(overlaps(network.leased.endpoints)).toEqual([])
   })
 
-  it('the neighbour is lost, and the answer would come too late: the caller hears that it may send again, and nothing runs', async () => {
+  it('a job whose neighbour is lost, and whose answer would come too late, fails so that the caller may send it again, and nothing runs', async () => {
     const network = await createNetwork()
     for (const endpoint of network.leased.endpoints) endpoint.runMs = 900
     network.leased.submit(0, 'j', 2, { objective: { stretch: 1.6, slackMs: 60, lateFactor: 3 } })
@@ -147,14 +152,14 @@
     expect(network.leased.endpoints.flatMap(({ open }) => open)).toEqual([])
   })
 
-  /** The caller's entry is lost; its caller sends the job again, to the neighbour or to a third entry. */
-  const deaths: Array<{ name: string, act: (network: HandOnNetwork) => void }> = [
-    { name: 'the caller\'s entry dies', act: (network) => network.kill(0) },
-    { name: 'it dies, and the neighbour hears nothing of that', act: (network) => { network.cutStream({ toHost: true }); network.kill(0) } },
-    { name: 'it dies, and the neighbour stands still', act: (network) => { network.kill(0); network.freeze(1, true) } },
-    { name: 'it dies and the neighbour with it', act: (network) => { network.kill(0); network.kill(1) } },
+  /** Losses of the origin entry, after which the caller sends the job again, to the neighbour or to a third entry. */
+  const losses: Array<{ name: string, act: (network: HandOnNetwork) => void }> = [
+    { name: 'the origin entry dies', act: (network) => network.kill(0) },
+    { name: 'the origin entry dies, and the neighbour is not notified', act: (network) => { network.cutStream({ toHost: true }); network.kill(0) } },
+    { name: 'the origin entry dies, and the neighbour is suspended', act: (network) => { network.kill(0); network.freeze(1, true) } },
+    { name: 'the origin entry and the neighbour die', act: (network) => { network.kill(0); network.kill(1) } },
     {
-      name: 'it dies, and the neighbour a moment before it would have stopped the job',
+      name: 'the origin entry dies, and the neighbour is suspended shortly before it would have cancelled the job',
       act: (network) => {
         network.cutStream({ toHost: true })
         network.kill(0)
@@ -162,8 +167,8 @@
       }
     }
   ]
-  const resends = deaths.flatMap((death) => [1, 2].map((to) => ({ ...death, to })))
-  it.each(resends)('$name: the job sent again to entry $to runs beside no other run', async ({ act, to }) => {
+  const resends = losses.flatMap((loss) => [1, 2].map((to) => ({ ...loss, to })))
+  it.each(resends)('$name: the job sent again to entry $to completes, and no two runs overlap', async ({ act, to }) => {
     const network = await createNetwork()
     for (const endpoint of network.leased.endpoints) endpoint.runMs = 1600
     submit(network, 0, 'j', 3)
@@ -179,10 +184,10 @@
     expect(overlaps(network.leased.endpoints)).toEqual([])
   })
 
-  it('agents are echoed no stamp made after the caller\'s entry died', async () => {
+  it('no timestamp made after the death of the origin entry is echoed to agents that run its jobs', async () => {
     const network = await createNetwork()
     for (const endpoint of network.leased.endpoints) endpoint.runMs = 900
-    // Traffic of the neighbour's own has it echo what it has just read.
+    // The neighbour's own jobs make it send frames, and so echoes, to its agents all the time.
     for (let job = 0; job < 30; job++) {
       network.leased.clock.after(job * 20, () => submit(network, 1, `own${job}`, 1))
       if (job % 3 === 0) network.leased.clock.after(job * 20 + 10, () => submit(network, 0, `theirs${job}`, 1))
@@ -197,7 +202,7 @@
     expect(originAliveAt(network)).toBeGreaterThan(0)
   })
 
-  it.each([1, 2, 3, 4, 5, 6])('whatever fails in whichever order, no two runs overlap (seed %i)', async (seed) => {
+  it.each([1, 2, 3, 4, 5, 6])('no two runs overlap under random faults, and jobs whose callers wait end (seed %i)', async (seed) => {
     const random = seededRandom(seed)
     const network = await createNetwork()
     for (const endpoint of network.leased.endpoints) endpoint.runMs = 300
@@ -207,7 +212,7 @@
       network.cutStream({ toHost: false, toCaller: false })
       for (let agent = 0; agent < 3; agent++) network.leased.cut(agent, 1, false)
     }
-    const acts: Array<() => void> = [
+    const randomFaults: Array<() => void> = [
       () => network.freeze(1, true),
       () => network.cutStream({ toHost: true }),
       () => network.cutStream({ toCaller: true }),
@@ -216,19 +221,19 @@
       () => network.leased.killAgent(draw(3)),
       () => network.entries[1]!.host.cutAll()
     ]
-    const alive = new Map<string, { leave: () => void, at: number }>()
+    const waiting = new Map<string, { leave: () => void, at: number }>()
     for (let step = 0; step < 60; step++) {
       const id = `j${step}`
-      alive.set(id, { ...submit(network, draw(2), id, 1 + draw(3)), at: network.leased.clock.now() })
+      waiting.set(id, { ...submit(network, draw(2), id, 1 + draw(3)), at: network.leased.clock.now() })
       if (random() < 0.1) {
-        acts[draw(acts.length)]!()
+        randomFaults[draw(randomFaults.length)]!()
         network.leased.clock.after(50 + draw(1000), healAll)
       }
-      const [first] = alive
-      // A caller goes, and comes again after the pause that all keep.
+      const [first] = waiting
+      // A caller leaves, and sends its job again after the delay that callers have to keep.
       if (first !== undefined && random() < 0.3) {
         first[1].leave()
-        alive.delete(first[0])
+        waiting.delete(first[0])
         network.leased.clock.after(RESEND_MS, () => submit(network, 2, first[0], 2))
       }
       await advanceCheckingEchoes(network, 5 * (1 + draw(20)))
@@ -237,11 +242,11 @@
     await network.advance(12_000)
     expect(overlaps(network.leased.endpoints)).toEqual([])
     expect(network.counts.hosted).toBeGreaterThan(3)
-    for (const id of alive.keys()) expect(network.leased.ends.has(id)).toBe(true)
+    for (const id of waiting.keys()) expect(network.leased.ends.has(id)).toBe(true)
     expect(network.entries[0]!.router.outstanding).toBe(0)
   })
 
-  it('the caller goes while the offer is under way: what begins is stopped, and the job may be sent again', async () => {
+  it('a job whose caller leaves while the offer is in transit is cancelled, and completes when it is sent again', async () => {
     const network = await createNetwork()
     for (const endpoint of network.leased.endpoints) endpoint.runMs = 400
     network.cutStream({ toHost: true })
@@ -254,7 +259,7 @@
     expect(overlaps(network.leased.endpoints)).toEqual([])
   })
 
-  it('the neighbour\'s own jobs go on when the caller\'s entry falls silent', async () => {
+  it('the neighbour\'s own jobs complete after the origin entry of a hosted job has died', async () => {
     const network = await createNetwork()
     for (const endpoint of network.leased.endpoints) endpoint.runMs = 1500
     submit(network, 0, 'theirs', 2)
@@ -268,7 +273,7 @@
     expect(oldestEchoAgeMs(network, 1)).toBeLessThan(400)
   })
 
-  it('a job of another entry that cannot be started does not hold up the neighbour\'s own', async () => {
+  it('the neighbour\'s own jobs start while frames from the origin entry are delayed', async () => {
     const network = await createNetwork()
     network.cutStream({ toHost: true })
     await network.advance(160)
--- a/packages/coordination/tests/handoff/handOnNetwork.ts
+++ b/packages/coordination/tests/handoff/handOnNetwork.ts
@@ -8,29 +8,29 @@
 const STEP_MS = 5
 const SWEEP_MS = 25
 const ZONE = 'z'
-/** Room enough that an entry's part of it is more than the jobs of these tests need. */
+/** So much that an entry's share of it is more than the jobs of these tests need. */
 const CAPACITY = { cpuMilli: 16_000, memoryMb: 16_000 }
 
-/** An entry as far as handing on goes. */
+/** The parts of an entry that hand jobs on and host them. */
 export interface HandOnEntry {
   router: HandedOnJobs
   host: HostedJobs
-  /** It stands still. */
+  /** The entry's process is suspended. */
   isFrozen: boolean
   isStopping: boolean
   lagMs: number
 }
 
-/** A stream from one entry to another, with each way of it held up or not. */
+/** A stream from one entry to another; frames are delayed in each direction that is cut. */
 interface Stream {
   isCut: { toHost: boolean, toCaller: boolean }
   delayed: { toHost: Array<() => void>, toCaller: Array<() => void> }
-  /** Both processes forget it, without a word to either. */
+  /** Drops one side, as if its process had died; the other side is notified unless that direction is cut. */
   drop: (side: 'host' | 'caller') => void
   isClosed: () => boolean
 }
 
-/** Entries that hand work on, with agents, on a fake clock. The stream goes from entry 0 to entry 1. */
+/** Simulates entries and agents on a fake clock, with a stream on which entry 0 hands jobs on to entry 1. */
 export class HandOnNetwork {
   readonly leased: LeasedNetwork
   readonly entries: HandOnEntry[] = []
@@ -45,7 +45,7 @@
     for (let index = 0; index < entryCount; index++) this.entries.push(this.createEntry(index))
   }
 
-  /** Moves time on, with everything that happens meanwhile. */
+  /** Advances the time and runs what is due meanwhile. */
   async advance (ms: number): Promise<void> {
     for (let passed = 0; passed < ms; passed += STEP_MS) {
       if (this.elapsedMs % SWEEP_MS === 0) this.sweep()
@@ -54,13 +54,13 @@
     }
   }
 
-  /** Holds frames up, either way, until they are let go. */
+  /** Delays frames in the given directions, or delivers those that were delayed. */
   cutStream (ways: { toHost?: boolean, toCaller?: boolean }): void {
     Object.assign(this.stream!.isCut, ways)
     this.flush()
   }
 
-  /** The entry stands still: it reads and sends nothing. */
+  /** Suspends or resumes the entry: while suspended, it receives and sends nothing. */
   freeze (index: number, isFrozen: boolean): void {
     this.entries[index]!.isFrozen = isFrozen
     this.leased.entries[index]!.isUp = !isFrozen
@@ -68,7 +68,7 @@
     if (this.stream !== undefined) this.cutStream(index === 1 ? { toHost: isFrozen, toCaller: isFrozen } : { toHost: isFrozen, toCaller: isFrozen })
   }
 
-  /** The entry's process dies; another one begins. Nobody dials again. */
+  /** Kills the entry's process and starts another one. The stream is not opened again. */
   kill (index: number): void {
     this.stream?.drop(index === 1 ? 'host' : 'caller')
     this.leased.killEntry(index)
@@ -90,19 +90,19 @@
     const leased = this.leased.entries[index]!
     const { dispatcher } = leased
     const { clock } = this.leased
-    const own = (): CallerView => ({ lagMs: entry.lagMs, returnedShare: 0, waitMs: longestWait(dispatcher.fleet, clock.now()) })
+    const ownLoad = (): CallerView => ({ lagMs: entry.lagMs, returnedShare: 0, waitMs: longestWait(dispatcher.fleet, clock.now()) })
     const router = new HandedOnJobs({
       clock,
       zone: ZONE,
       times: TIMES,
       dispatcher,
-      ownLoad: own,
+      ownLoad,
       limits: () => this.limits,
       events: {
         handedOn: () => { this.counts.handedOn++ },
         notHandedOn: () => {},
         ended: () => {},
-        returned: (_job, reason, isPlaced) => { this.counts.returned.push(`${reason} ${isPlaced ? 'placed' : 'given up'}`) },
+        returned: (_job, reason, isPlaced) => { this.counts.returned.push(`${reason} ${isPlaced ? 'placed' : 'failed'}`) },
         peerLost: () => { this.counts.peerLost++ }
       }
     })
@@ -111,7 +111,7 @@
       dispatcher,
       fleet: dispatcher.fleet,
       find: (key) => router.find(key),
-      ownLoad: own,
+      ownLoad,
       isStopping: () => entry.isStopping,
       events: {
         hosted: () => { this.counts.hosted++ },
@@ -125,8 +125,8 @@
   }
 
   private flush (): void {
-    const { isCut, delayed: held } = this.stream!
-    for (const way of ['toHost', 'toCaller'] as const) if (!isCut[way]) for (const fn of held[way].splice(0)) fn()
+    const { isCut, delayed } = this.stream!
+    for (const way of ['toHost', 'toCaller'] as const) if (!isCut[way]) for (const fn of delayed[way].splice(0)) fn()
   }
 
   private dial (): void {
