--- a/model/handoff.pml
+++ b/model/handoff.pml
@@ -1,27 +1,32 @@
 /*
- * Work handed on between entries: two runs of one task never overlap.
+ * Jobs handed on (forwarded) from one entry to another: two runs of one task
+ * never overlap.
  *
- * The caller's entry C hands a job with one task to its neighbour N, which
- * orders it at one of two agents, each with one endpoint. C and N may die, fall
- * silent, be cut one way, or stand still at any moment (an action that is
- * possible need not happen, and every frame may arrive late). What the protocol
- * takes from time is kept: N echoes to an agent, while C's task is out there,
- * only stamps that it had read by the moment that C has proved to have been
- * alive (N's own stamp, echoed by C); authority ends S after the stamp that was
- * echoed; a hold lasts H; a caller sends again no sooner than R after its entry
- * died, with R > S + H. "again" is the moment at which the job may begin
- * anywhere else: at C itself, or where its caller sends it again. What an agent
- * that dies leaves behind is lease.pml's.
+ * The origin entry, which has the caller, hands a job with one task on to the
+ * host, which orders it at one of NA agents, each with one endpoint. Origin entry
+ * and host may die, stop responding, be cut off in one direction or be suspended at
+ * any moment: an action that is possible need not happen, and every frame may
+ * arrive late. The protocol's assumptions about time hold:
+ *  - While the job is out at an agent, the host echoes to it only timestamps that
+ *    it had received by the time at which the origin entry was last known to be
+ *    alive (the host's own timestamp, echoed by the origin entry).
+ *  - An entry lease ends ENTRY_LEASE after the timestamp that was echoed.
+ *  - A run lease lasts RUN_LEASE from its renewal.
+ *  - A caller sends its job again no sooner than RESEND_DELAY after its entry
+ *    died, and RESEND_DELAY > ENTRY_LEASE + RUN_LEASE.
+ * From the moment at which mayRunElsewhere is set, the job may start at any other
+ * place: at the origin entry itself, or where its caller sends it again. What an
+ * agent that dies leaves behind is the subject of lease.pml.
  */
 
-#ifndef S
-#define S 1
+#ifndef ENTRY_LEASE
+#define ENTRY_LEASE 1
 #endif
-#ifndef H
-#define H 1
+#ifndef RUN_LEASE
+#define RUN_LEASE 1
 #endif
-#ifndef R
-#define R (S + H + 1)   /* the bound, and one for the time that a stop takes */
+#ifndef RESEND_DELAY
+#define RESEND_DELAY (ENTRY_LEASE + RUN_LEASE + 1)   /* the termination bound, and 1 for the time that a stop takes */
 #endif
 #ifndef MAX_TIME
 #define MAX_TIME 6
@@ -30,78 +35,79 @@
 #ifndef NA
 #define NA 2
 #endif
-#define NOBODY 255
-#define SLOTS 8         /* of time */
+#define NO_AGENT 255
+#define TIME_SLOTS 8    /* more than MAX_TIME */
 
 byte now = 1;
 
 /* Endpoints and agents. */
-bool runs[NA];
-byte until[NA];         /* what runs lapses once this time has passed */
-byte authority[NA];     /* of N */
-bool ordered[NA];       /* an order is under way */
-byte orderEcho[NA];     /* the highest echo when it left: on one stream no later echo overtakes it */
+bool running[NA];
+byte runLeaseEnd[NA];   /* a run expires once this time has passed */
+byte entryLeaseEnd[NA]; /* the agent may run tasks for the host until then */
+bool orderInTransit[NA];
+byte orderEcho[NA];     /* the highest echo when the order was sent: on one stream no later echo overtakes it */
 
-/* N. */
-bool upN = true;
-byte readBy[NA * SLOTS];/* the latest stamp of the agent that was read by this time */
-byte readAt[NA];
-byte echoed[NA];        /* the highest stamp echoed */
-byte aliveAt;           /* C was alive then, by N's clock */
-bool hasJob;
-byte sentTo = NOBODY;
-bool stops;             /* the job was withdrawn: what is out is being revoked */
+/* Host. */
+bool hostUp = true;
+byte stampReadBy[NA * TIME_SLOTS]; /* the latest timestamp of the agent that was received by this time */
+byte agentReceivedAt[NA]; /* when the last frame of the agent was received */
+byte echoedStamp[NA];   /* the highest timestamp echoed */
+byte originAliveAt;     /* the origin entry was alive then, on the host's clock */
+bool hostHasJob;
+byte sentTo = NO_AGENT; /* the agent with an order that is not confirmed terminated */
+bool isRevoking;        /* the job was withdrawn, and its order is being revoked */
 
-/* C. */
-#define IDLE 0
-#define OUT 1           /* handed on */
-#define BROKEN 2        /* its stream with N is closed, or N was silent for too long */
-#define OVER 3
-bool upC = true;
-byte state = IDLE;
-byte stampHeard, heardAt;
-bool offered;           /* the offer is under way */
-bool withdrawn;         /* a withdrawal is under way, behind the offer */
-bool gone;              /* N has nothing of the job any more and has said so */
-byte diedAt;
+/* Origin entry. */
+#define NOT_HANDED_ON 0
+#define HANDED_ON 1
+#define DISCONNECTED 2  /* its stream to the host is closed, or the host timed out */
+#define TERMINATED 3    /* nothing of the job runs at the host's agents */
+bool originUp = true;
+byte originState = NOT_HANDED_ON;
+byte hostStamp, hostReceivedAt; /* the host's latest timestamp, and when it was received */
+bool offerInTransit;
+bool withdrawalSent;    /* arrives after the offer */
+bool terminationReported; /* the host has reported that nothing of the job runs any more */
+byte originDiedAt;
 
-bool again;
+/* The job may start outside the host's agents. */
+bool mayRunElsewhere;
 
-#define READ_BY(a, t) readBy[(a) * SLOTS + (t)]
+#define STAMP_READ_BY(a, t) stampReadBy[(a) * TIME_SLOTS + (t)]
 
-#ifdef NO_HOLD_BACK     /* N echoes the latest stamp, whatever is out */
-#define ECHO(a) READ_BY(a, now)
+#ifdef NO_HOLD_BACK     /* the host always echoes the latest timestamp */
+#define ECHO(a) STAMP_READ_BY(a, now)
 #else
-#define ECHO(a) (sentTo == (a) -> READ_BY(a, aliveAt) : READ_BY(a, now))
+#define ECHO(a) (sentTo == (a) -> STAMP_READ_BY(a, originAliveAt) : STAMP_READ_BY(a, now))
 #endif
 
-inline begin(a) {
-  assert(!runs[0] && !runs[NA - 1] && !again);
-  runs[a] = true;
-  until[a] = now + H
+inline startRun(a) {
+  assert(!running[0] && !running[NA - 1] && !mayRunElsewhere);
+  running[a] = true;
+  runLeaseEnd[a] = now + RUN_LEASE
 }
 
-inline lapse(a) {
-  if :: runs[a] && authority[a] < now -> runs[a] = false :: else fi
+inline expireRun(a) {
+  if :: running[a] && entryLeaseEnd[a] < now -> running[a] = false :: else fi
 }
 
-inline renew(a, stamp) {
-  if :: stamp > 0 && stamp + S > authority[a] -> authority[a] = stamp + S :: else fi
+inline renewEntryLease(a, stamp) {
+  if :: stamp > 0 && stamp + ENTRY_LEASE > entryLeaseEnd[a] -> entryLeaseEnd[a] = stamp + ENTRY_LEASE :: else fi
 }
 
-/* From now on it may begin somewhere else; no run of N's may be there, or begin. */
-inline mayRunAgain() {
-  again = true;
-  heardAt = 0;
-  diedAt = 0;
-  assert(!runs[0] && !runs[NA - 1])
+/* From now on the job may start elsewhere; the host's agents must run nothing of it. */
+inline allowRunElsewhere() {
+  mayRunElsewhere = true;
+  hostReceivedAt = 0;
+  originDiedAt = 0;
+  assert(!running[0] && !running[NA - 1])
 }
 
-inline passTime() {
+inline advanceTime() {
   now++;
   for (i : 0 .. NA - 1) {
-    READ_BY(i, now) = READ_BY(i, now - 1);
-    if :: runs[i] && until[i] < now -> runs[i] = false :: else fi
+    STAMP_READ_BY(i, now) = STAMP_READ_BY(i, now - 1);
+    if :: running[i] && runLeaseEnd[i] < now -> running[i] = false :: else fi
   }
 }
 
@@ -113,113 +119,113 @@
      atomic {
      if :: a = 0 :: a = NA - 1 fi;
      if
-     /* An agent's frame arrives at N, at once or late. */
-     :: upN && READ_BY(a, now) < now -> READ_BY(a, now) = now; readAt[a] = now
+     /* A frame of the agent arrives at the host, at once or late. */
+     :: hostUp && STAMP_READ_BY(a, now) < now -> STAMP_READ_BY(a, now) = now; agentReceivedAt[a] = now
 #ifdef LATE_AGENTS
-     :: upN && READ_BY(a, now) + 1 < now -> READ_BY(a, now) = now - 1; readAt[a] = now
+     :: hostUp && STAMP_READ_BY(a, now) + 1 < now -> STAMP_READ_BY(a, now) = now - 1; agentReceivedAt[a] = now
 #endif
-     /* N's frame arrives at C, at once or late. */
-     :: upN && upC && (state == IDLE || state == OUT) && stampHeard < now -> stampHeard = now; heardAt = now
+     /* A frame of the host arrives at the origin entry, at once or late. */
+     :: hostUp && originUp && (originState == NOT_HANDED_ON || originState == HANDED_ON) && hostStamp < now -> hostStamp = now; hostReceivedAt = now
 #ifdef LATE_ENTRIES
-     :: upN && upC && (state == IDLE || state == OUT) && stampHeard + 1 < now -> stampHeard = now - 1; heardAt = now
+     :: hostUp && originUp && (originState == NOT_HANDED_ON || originState == HANDED_ON) && hostStamp + 1 < now -> hostStamp = now - 1; hostReceivedAt = now
 #endif
-#ifdef NO_CLOSE          /* C goes on answering after it has given N up */
-     :: upN && upC && state == BROKEN && stampHeard < now -> stampHeard = now
+#ifdef NO_CLOSE          /* the origin entry still echoes after it has closed the stream or timed it out */
+     :: hostUp && originUp && originState == DISCONNECTED && hostStamp < now -> hostStamp = now
 #endif
-     /* C's echo arrives at N, whenever, also after C died. */
+     /* An echo of the origin entry arrives at the host at any time, also after the origin entry died. */
 #ifdef NO_ECHO_STAMP
-     :: upN && stampHeard > 0 -> aliveAt = now
+     :: hostUp && hostStamp > 0 -> originAliveAt = now
 #else
-     :: upN && stampHeard > aliveAt ->
-        aliveAt = stampHeard;
-        /* What was read before is asked for no more. */
-        for (i : 0 .. NA * SLOTS - 1) { if :: i % SLOTS < aliveAt -> readBy[i] = 0 :: else fi }
+     :: hostUp && hostStamp > originAliveAt ->
+        originAliveAt = hostStamp;
+        /* Older slots are not read again; they are reset so that states that differ only in them are one. */
+        for (i : 0 .. NA * TIME_SLOTS - 1) { if :: i % TIME_SLOTS < originAliveAt -> stampReadBy[i] = 0 :: else fi }
 #endif
-     /* C hands the job on. */
-     :: upC && state == IDLE && stampHeard > 0 -> state = OUT; offered = true
-     /* The offer arrives, whenever. */
-     :: upN && offered -> offered = false; hasJob = true
-     /* N orders a start, if none of its orders can run. */
-     :: upN && hasJob && !stops && sentTo == NOBODY && aliveAt > 0 && READ_BY(a, aliveAt) > 0 && !ordered[a] &&
+     /* The origin entry hands the job on. */
+     :: originUp && originState == NOT_HANDED_ON && hostStamp > 0 -> originState = HANDED_ON; offerInTransit = true
+     /* The offer arrives at any time. */
+     :: hostUp && offerInTransit -> offerInTransit = false; hostHasJob = true
+     /* The host orders a start if no earlier order of it can run. */
+     :: hostUp && hostHasJob && !isRevoking && sentTo == NO_AGENT && originAliveAt > 0 && STAMP_READ_BY(a, originAliveAt) > 0 && !orderInTransit[a] &&
 #ifndef NO_START_BOUND
-        echoed[a] <= READ_BY(a, aliveAt) &&
+        echoedStamp[a] <= STAMP_READ_BY(a, originAliveAt) &&
 #endif
         true ->
         sentTo = a;
         echo = ECHO(a);
-        if :: echo > echoed[a] -> echoed[a] = echo :: else fi;
-        ordered[a] = true;
-        orderEcho[a] = echoed[a]
+        if :: echo > echoedStamp[a] -> echoedStamp[a] = echo :: else fi;
+        orderInTransit[a] = true;
+        orderEcho[a] = echoedStamp[a]
      /* The order arrives at the agent. */
-     :: ordered[a] ->
-        ordered[a] = false;
-        renew(a, orderEcho[a]);
+     :: orderInTransit[a] ->
+        orderInTransit[a] = false;
+        renewEntryLease(a, orderEcho[a]);
         orderEcho[a] = 0;
         if
 #ifndef NO_START_CHECK
-        :: authority[a] < now -> if :: sentTo == a -> sentTo = NOBODY :: else fi
-        :: authority[a] >= now ->
+        :: entryLeaseEnd[a] < now -> if :: sentTo == a -> sentTo = NO_AGENT :: else fi
+        :: entryLeaseEnd[a] >= now ->
 #else
         :: true ->
 #endif
            if
-           :: runs[a] -> if :: sentTo == a -> sentTo = NOBODY :: else fi
-           :: !runs[a] -> begin(a)
+           :: running[a] -> if :: sentTo == a -> sentTo = NO_AGENT :: else fi
+           :: !running[a] -> startRun(a)
            fi
         fi
-     /* N sends an echo. */
-     :: upN && ECHO(a) > echoed[a] -> echoed[a] = ECHO(a)
-     /* An echo arrives at the agent, also after N died. */
-     :: echoed[a] > 0 ->
-        lapse(a);
-        if :: ordered[a] -> renew(a, orderEcho[a]) :: else -> renew(a, echoed[a]) fi
-     /* The agent holds on what runs; what has no authority is stopped first. */
-     :: runs[a] && authority[a] >= now -> until[a] = now + H
-     :: runs[a] && authority[a] < now -> runs[a] = false
-     /* The agent is silent: by time, nothing of N's runs there. */
-     :: upN && sentTo == a && now > readAt[a] + S + H -> sentTo = NOBODY
-     /* The run ends, and N hears of it; it fails and waits again, or is over. */
-     :: upN && sentTo == a && !ordered[a] && runs[a] -> runs[a] = false; sentTo = NOBODY
-     :: upN && sentTo == a && !ordered[a] && runs[a] -> runs[a] = false; sentTo = NOBODY; hasJob = false; gone = true
-     /* The run ends, and nobody hears of it. */
-     :: runs[a] -> runs[a] = false
-     /* C withdraws: its caller has gone, or the deadline has passed. */
-     :: upC && state == OUT && !withdrawn -> withdrawn = true
-     /* The withdrawal, or the end of the stream, arrives at N behind the offer. */
-     :: upN && !offered && !stops && (withdrawn || state == BROKEN || !upC) ->
-        stops = true;
-        hasJob = false;
-#ifdef NO_OVER_PROOF     /* N tells "over" while its order may run */
-        gone = true
+     /* The host sends an echo. */
+     :: hostUp && ECHO(a) > echoedStamp[a] -> echoedStamp[a] = ECHO(a)
+     /* An echo arrives at the agent, also after the host died. */
+     :: echoedStamp[a] > 0 ->
+        expireRun(a);
+        if :: orderInTransit[a] -> renewEntryLease(a, orderEcho[a]) :: else -> renewEntryLease(a, echoedStamp[a]) fi
+     /* The agent renews the run lease; a run whose entry lease has expired is stopped instead. */
+     :: running[a] && entryLeaseEnd[a] >= now -> runLeaseEnd[a] = now + RUN_LEASE
+     :: running[a] && entryLeaseEnd[a] < now -> running[a] = false
+     /* The agent has been silent for longer than the termination bound: no run of the host is left there. */
+     :: hostUp && sentTo == a && now > agentReceivedAt[a] + ENTRY_LEASE + RUN_LEASE -> sentTo = NO_AGENT
+     /* The run ends and the host receives its result: a failed task is queued again, or the job ends. */
+     :: hostUp && sentTo == a && !orderInTransit[a] && running[a] -> running[a] = false; sentTo = NO_AGENT
+     :: hostUp && sentTo == a && !orderInTransit[a] && running[a] -> running[a] = false; sentTo = NO_AGENT; hostHasJob = false; terminationReported = true
+     /* The run ends, and its result is lost. */
+     :: running[a] -> running[a] = false
+     /* The origin entry withdraws the job: its caller has gone, or the deadline has passed. */
+     :: originUp && originState == HANDED_ON && !withdrawalSent -> withdrawalSent = true
+     /* The withdrawal, or the end of the stream, arrives at the host after the offer. */
+     :: hostUp && !offerInTransit && !isRevoking && (withdrawalSent || originState == DISCONNECTED || !originUp) ->
+        isRevoking = true;
+        hostHasJob = false;
+#ifdef NO_OVER_PROOF     /* the host reports termination while its order may run */
+        terminationReported = true
 #else
-        if :: sentTo == NOBODY -> gone = true :: else fi
+        if :: sentTo == NO_AGENT -> terminationReported = true :: else fi
 #endif
-     /* The revoke arrives behind the order, and the agent's answer at N. */
-     :: upN && stops && sentTo == a && !ordered[a] -> runs[a] = false; sentTo = NOBODY; gone = true
-     /* N is asked to run it and will not. */
-     :: upN && hasJob && sentTo == NOBODY && !stops -> hasJob = false; gone = true
-     /* N's word that nothing runs reaches C, which may run it, or let it be sent again. */
-     :: upC && state == OUT && gone && !again -> state = OVER; mayRunAgain()
-     /* The stream breaks, or C gives N up; it answers N no more. */
-     :: upC && state == OUT -> state = BROKEN
-     :: upC && state == BROKEN && !again &&
+     /* The revoke arrives after the order, and the agent's answer at the host. */
+     :: hostUp && isRevoking && sentTo == a && !orderInTransit[a] -> running[a] = false; sentTo = NO_AGENT; terminationReported = true
+     /* The host refuses the job, or ends it while none of its orders can run. */
+     :: hostUp && hostHasJob && sentTo == NO_AGENT && !isRevoking -> hostHasJob = false; terminationReported = true
+     /* The host's report of termination reaches the origin entry, which may run the job or let it be sent again. */
+     :: originUp && originState == HANDED_ON && terminationReported && !mayRunElsewhere -> originState = TERMINATED; allowRunElsewhere()
+     /* The stream ends, or the origin entry times the host out; it echoes nothing to the host any more. */
+     :: originUp && originState == HANDED_ON -> originState = DISCONNECTED
+     :: originUp && originState == DISCONNECTED && !mayRunElsewhere &&
 #ifndef NO_PROOF_BY_TIME
-        now > heardAt + S + H &&
+        now > hostReceivedAt + ENTRY_LEASE + RUN_LEASE &&
 #endif
-        true -> state = OVER; mayRunAgain()
-     /* C dies; its caller sends the job again. */
-     :: upC && !again -> upC = false; diedAt = now
-     :: !upC && !again &&
+        true -> originState = TERMINATED; allowRunElsewhere()
+     /* The origin entry dies; its caller sends the job again. */
+     :: originUp && !mayRunElsewhere -> originUp = false; originDiedAt = now
+     :: !originUp && !mayRunElsewhere &&
 #ifndef NO_RESEND_GAP
-        now >= diedAt + R &&
+        now >= originDiedAt + RESEND_DELAY &&
 #endif
-        true -> mayRunAgain()
-     /* N dies. */
-     :: upN ->
-        upN = false; hasJob = false; aliveAt = 0; sentTo = NOBODY;
-        for (i : 0 .. NA - 1) { readAt[i] = 0 };
-        for (i : 0 .. NA * SLOTS - 1) { readBy[i] = 0 }
-     :: passTime()
+        true -> allowRunElsewhere()
+     /* The host dies. */
+     :: hostUp ->
+        hostUp = false; hostHasJob = false; originAliveAt = 0; sentTo = NO_AGENT;
+        for (i : 0 .. NA - 1) { agentReceivedAt[i] = 0 };
+        for (i : 0 .. NA * TIME_SLOTS - 1) { stampReadBy[i] = 0 }
+     :: advanceTime()
      fi;
      a = 0;
      i = 0;
