--- a/packages/coordination/src/handoff/handedOnJobs.ts
+++ b/packages/coordination/src/handoff/handedOnJobs.ts
@@ -15,7 +15,11 @@
 import { OverloadWatch } from './overloadWatch.js'
 import type { HandOnLink, JobDispatcher } from './types.js'
 
-/** Why a job that was handed on (forwarded to another entry) was returned to this one. */
+/**
+ * Why a job that was handed on (forwarded to another entry) was returned to this
+ * one: its host refused it and started nothing, ended it without a result, or
+ * was lost.
+ */
 export type ReturnReason = 'refused' | 'unfinished' | 'entry_lost'
 
 /** Notifications for logs and metrics. */
