--- a/packages/coordination/src/handoff/handOnPeer.ts
+++ b/packages/coordination/src/handoff/handOnPeer.ts
@@ -1,4 +1,4 @@
-import type { NeighbourView, OwnView } from '@hazellift/decisions'
+import type { NeighbourView, EntryLoadView } from '@hazellift/decisions'
 import type { CallerFrame, HandOnNews } from '@hazellift/protocol'
 import type { LeasedJob } from '../leased/leasedJob.js'
 import type { HandOnLink } from './types.js'
@@ -59,16 +59,16 @@
   viewOf (service: string, now: number): PeerView {
     this.recentOffers = this.recentOffers.filter(({ offeredAt }) => now - offeredAt < REPORT_DELAY_MS)
     const capacity = this.loadReport?.rooms.find((other) => other.service === service)
-    const load: OwnView = { lagMs: this.loadReport?.lagMs ?? 0, waitMs: capacity?.waitMs ?? 0 }
+    const load: EntryLoadView = { lagMs: this.loadReport?.lagMs ?? 0, waitMs: capacity?.waitMs ?? 0 }
     return {
       peer: this,
       zone: this.zone,
-      toldAt: this.receivedAt,
+      receivedAt: this.receivedAt,
       isOpen: this.isOpen && capacity !== undefined,
       isStopping: this.loadReport?.stopping ?? false,
       ...load,
       freeMilli: capacity?.freeMilli ?? 0,
-      unseenMilli: this.recentOffers.reduce((sum, { cpuMilli }) => sum + cpuMilli, 0)
+      unreportedMilli: this.recentOffers.reduce((sum, { cpuMilli }) => sum + cpuMilli, 0)
     }
   }
 }
--- a/packages/coordination/src/handoff/handedOnJobs.ts
+++ b/packages/coordination/src/handoff/handedOnJobs.ts
@@ -1,11 +1,11 @@
 import type { Clock } from '@hazellift/common'
 import { handOn } from '@hazellift/decisions'
-import type { CallerView, HandOnLimits, KeepReason } from '@hazellift/decisions'
+import type { OriginView, HandOnLimits, KeepReason } from '@hazellift/decisions'
 import { HAND_ON_ENDS, REASONS } from '@hazellift/protocol'
 import type { CallerFrame, HandOnEnd, HostFrame, Reason } from '@hazellift/protocol'
 import { createLeasedJob } from '../leased/leasedJob.js'
 import type { LeasedJob, LeasedJobEnd, LeasedJobSpec } from '../leased/leasedJob.js'
-import { provedOverMs } from '../leased/times.js'
+import { terminationBoundMs } from '../leased/times.js'
 import type { LeaseTimes } from '../leased/times.js'
 import { submissionKey } from '../tasks/keys.js'
 import { HandedOnShare } from './handedOnShare.js'
@@ -25,7 +25,7 @@
 /** Notifications for logs and metrics. */
 export interface HandOnEvents {
   /** A job was handed on, for an expected gain, by a load report of this age. */
-  handedOn: (job: LeasedJob, to: PeerView, gainMs: number, reportAgeMs: number, ownLoad: CallerView) => void
+  handedOn: (job: LeasedJob, to: PeerView, gainMs: number, reportAgeMs: number, ownLoad: OriginView) => void
   /** The decision was to keep a job at this entry. */
   notHandedOn: (reason: KeepReason) => void
   /** A job ended while it was handed on: the neighbour reported the end, or this entry cancelled or failed the job. */
@@ -43,7 +43,7 @@
   times: LeaseTimes
   /** Runs the jobs that stay at this entry. */
   dispatcher: JobDispatcher
-  ownLoad: () => CallerView
+  ownLoad: () => OriginView
   limits: () => HandOnLimits
   events: HandOnEvents
 }
@@ -115,7 +115,7 @@
     if (peer === undefined) return dispatcher.submit(spec, onEnd)
     const job = createLeasedJob(spec, now, this.expectedMs(spec), onEnd)
     this.overloadWatch.onHandedOn(now)
-    Object.assign(job, { queue: [], unproved: 1, mayHaveRun: job.count })
+    Object.assign(job, { queue: [], unterminatedRuns: 1, mayHaveRun: job.count })
     this.jobs.set(job.key, job)
     const offer = encodeOffer(peer.addOffer(job, now), spec)
     peer.link.add((frame) => frame.offers.push(offer))
@@ -168,7 +168,7 @@
     if (peer.offeredJobs.size === 0) return
     const { times, events, clock } = this.options
     events.peerLost(peer.address, Math.round(clock.now() - peer.receivedAt), peer.offeredJobs.size)
-    for (const job of peer.offeredJobs.values()) this.terminating.add({ job, terminatedAt: peer.receivedAt + provedOverMs(times) })
+    for (const job of peer.offeredJobs.values()) this.terminating.add({ job, terminatedAt: peer.receivedAt + terminationBoundMs(times) })
   }
 
   /** Handles a frame from a neighbour. */
@@ -193,7 +193,7 @@
     const decision = handOn({ count: spec.count, needMilli: spec.count * spec.need.cpuMilli }, {
       now,
       zone,
-      isShort: this.overloadWatch.isOverloaded(now),
+      isOverloaded: this.overloadWatch.isOverloaded(now),
       own: ownLoad(),
       neighbours: [...this.peers].map((peer) => peer.viewOf(spec.service, now)),
       outstanding: this.jobs.size,
@@ -203,7 +203,7 @@
       events.notHandedOn(decision.reason)
       return undefined
     }
-    events.handedOn(createLeasedJob(spec, now, this.expectedMs(spec), () => {}), decision.to, decision.gainMs, Math.round(now - decision.to.toldAt), ownLoad())
+    events.handedOn(createLeasedJob(spec, now, this.expectedMs(spec), () => {}), decision.to, decision.gainMs, Math.round(now - decision.to.receivedAt), ownLoad())
     return decision.to.peer
   }
 
@@ -224,10 +224,10 @@
   /** Takes back a job that is confirmed terminated at the neighbour. */
   private reclaim (job: LeasedJob, reason: ReturnReason): void {
     this.jobs.delete(job.key)
-    job.unproved = 0
+    job.unterminatedRuns = 0
     if (job.end === undefined) this.placeLocally(job, reason)
-    job.onOver?.()
-    job.onOver = undefined
+    job.onTerminated?.()
+    job.onTerminated = undefined
   }
 
   private placeLocally (job: LeasedJob, reason: ReturnReason): void {
@@ -235,7 +235,7 @@
     const now = clock.now()
     const isNotStarted = reason === 'refused'
     // Its key must be free here, and a job that may have run is not run again for an answer after its expiry.
-    const isPlaced = dispatcher.find(job.key) === undefined && (isNotStarted || now + job.expectedMs < job.uselessAt)
+    const isPlaced = dispatcher.find(job.key) === undefined && (isNotStarted || now + job.expectedMs < job.expiresAt)
     events.returned(job, reason, isPlaced)
     if (!isPlaced) return this.finish(job, HAND_ON_LOST)
     const localJob = dispatcher.submit(remainingSpec(job, now - job.arrivedAt), (end) => {
--- a/packages/coordination/src/handoff/hostedJobs.ts
+++ b/packages/coordination/src/handoff/hostedJobs.ts
@@ -1,10 +1,10 @@
 import { create } from '@bufbuild/protobuf'
 import type { Clock } from '@hazellift/common'
 import { findHostRefusal } from '@hazellift/decisions'
-import type { HostRefusal, OwnView } from '@hazellift/decisions'
+import type { HostRefusal, EntryLoadView } from '@hazellift/decisions'
 import { HAND_ON_ENDS, HandOnEndSchema, HandOnNewsSchema, REASONS } from '@hazellift/protocol'
 import type { CallerFrame, HandOnEnd, HandOnHello, HandOnOffer, HostFrame, Reason } from '@hazellift/protocol'
-import type { Sponsor } from '../leased/heldEchoes.js'
+import type { OriginEntry } from '../leased/echoLimits.js'
 import type { LeasedFleet } from '../leased/leasedFleet.js'
 import type { LeasedJob, LeasedJobEnd } from '../leased/leasedJob.js'
 import { submissionKey } from '../tasks/keys.js'
@@ -16,7 +16,7 @@
 export interface OriginPeer {
   readonly entryId: string
   readonly link: HandOnLink<HostFrame>
-  readonly originEntry: Sponsor
+  readonly originEntry: OriginEntry
   /** Its jobs that are not confirmed terminated, by the number of their offer. */
   readonly jobs: Map<number, LeasedJob>
   /** When the last regular frame was sent to it. */
@@ -35,7 +35,7 @@
   fleet: LeasedFleet
   /** Finds a job by its key, whether it runs here or is handed on to another entry. */
   find: (key: string) => LeasedJob | undefined
-  ownLoad: () => OwnView
+  ownLoad: () => EntryLoadView
   isStopping: () => boolean
   events: {
     /** An offer was accepted, `silentMs` after the origin entry was last known to be alive. */
@@ -82,7 +82,7 @@
   open ({ entryId }: HandOnHello, link: HandOnLink<HostFrame>): OriginPeer {
     const peer: OriginPeer = { entryId, link, originEntry: { aliveAt: -Infinity }, jobs: new Map(), sentAt: -Infinity, receivedAt: this.options.clock.now() }
     this.peers.add(peer)
-    this.options.fleet.echoes.begin(peer.originEntry)
+    this.options.fleet.echoLimits.addOrigin(peer.originEntry)
     link.add(() => {})
     return peer
   }
@@ -90,7 +90,7 @@
   /** Removes an origin entry whose stream has ended, and cancels its jobs, as nobody receives their answers. */
   closed (peer: OriginPeer): void {
     if (!this.peers.delete(peer)) return
-    this.options.fleet.echoes.end(peer.originEntry)
+    this.options.fleet.echoLimits.removeOrigin(peer.originEntry)
     this.onOriginLost(peer)
   }
 
@@ -152,7 +152,7 @@
     peer.jobs.set(offer.offer, job)
     events.hosted(peer.entryId, job, silentMs)
     // The dispatcher does not keep a job that it refuses, and never calls its termination handler.
-    if (this.options.dispatcher.find(job.key) === job) job.onOver = () => this.onTerminated(peer, offer.offer)
+    if (this.options.dispatcher.find(job.key) === job) job.onTerminated = () => this.onTerminated(peer, offer.offer)
     else this.onTerminated(peer, offer.offer)
   }
 
--- a/packages/coordination/src/handoff/loadReport.ts
+++ b/packages/coordination/src/handoff/loadReport.ts
@@ -1,5 +1,5 @@
 import { forecastWait, workAhead } from '@hazellift/decisions'
-import type { Sponsor } from '../leased/heldEchoes.js'
+import type { OriginEntry } from '../leased/echoLimits.js'
 import type { LeasedFleet } from '../leased/leasedFleet.js'
 
 /** An entry's free capacity and queueing delay for one service, as it reports them to other entries. */
@@ -16,10 +16,10 @@
  * @param now - in ms, on the process's clock
  * @param originEntry - counts only agents at which this entry's jobs may start now; all agents if undefined
  */
-export const reportServiceLoad = (fleet: LeasedFleet, service: string, now: number, originEntry?: Sponsor): ServiceLoadReport => {
+export const reportServiceLoad = (fleet: LeasedFleet, service: string, now: number, originEntry?: OriginEntry): ServiceLoadReport => {
   const { queue } = fleet.serviceOf(service)
-  const agents = fleet.agentsOf(service).filter((agent) => fleet.echoes.mayStart({ sponsor: originEntry }, agent, now))
-  const freeMilli = agents.reduce((sum, { room, entryCount }) => sum + Math.max(0, room.cpuMilli) / entryCount, 0)
+  const agents = fleet.agentsOf(service).filter((agent) => fleet.echoLimits.mayStart({ originEntry: originEntry }, agent, now))
+  const freeMilli = agents.reduce((sum, { freeCapacity: room, entryCount }) => sum + Math.max(0, room.cpuMilli) / entryCount, 0)
   const priority = Math.max(0, ...[...queue].map((job) => job.priority))
   const waitMs = forecastWait(workAhead(queue, priority), priority, fleet.loadOf(service))
   return { freeMilli: Math.round(freeMilli), waitMs: Math.round(waitMs) }
--- a/packages/coordination/src/handoff/loopLag.test.ts
+++ b/packages/coordination/src/handoff/loopLag.test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from 'vitest'
-import { runsShort } from '@hazellift/decisions'
+import { isOverloaded } from '@hazellift/decisions'
 import { LoopLag } from './loopLag.js'
 
 const INTERVAL_MS = 25
@@ -16,6 +16,6 @@
     const lag = new LoopLag(INTERVAL_MS)
     let now = 0
     for (const pause of pauses) lag.onTick(now += INTERVAL_MS + pause)
-    expect(runsShort({ lagMs: lag.ms, waitMs: 0 }, false)).toBe(isOverloaded)
+    expect(isOverloaded({ lagMs: lag.ms, waitMs: 0 }, false)).toBe(isOverloaded)
   })
 })
--- a/packages/coordination/src/handoff/offers.ts
+++ b/packages/coordination/src/handoff/offers.ts
@@ -1,7 +1,7 @@
 import { create } from '@bufbuild/protobuf'
 import { HandOnOfferSchema } from '@hazellift/protocol'
 import type { HandOnOffer } from '@hazellift/protocol'
-import type { Sponsor } from '../leased/heldEchoes.js'
+import type { OriginEntry } from '../leased/echoLimits.js'
 import type { LeasedJobSpec } from '../leased/leasedJob.js'
 
 /**
@@ -46,7 +46,7 @@
  *
  * @param originEntry - the entry that offers it
  */
-export const decodeOffer = (offer: HandOnOffer, originEntry: Sponsor): LeasedJobSpec => ({
+export const decodeOffer = (offer: HandOnOffer, originEntry: OriginEntry): LeasedJobSpec => ({
   workspace: offer.workspace,
   id: offer.submission,
   requestId: offer.requestId,
@@ -60,5 +60,5 @@
   attempts: offer.attempts,
   objective: { stretch: offer.stretch, slackMs: offer.slackMs, lateFactor: offer.lateFactor },
   deadlineMs: offer.deadlineMs,
-  sponsor: originEntry
+  originEntry: originEntry
 })
--- a/packages/coordination/src/handoff/overloadWatch.ts
+++ b/packages/coordination/src/handoff/overloadWatch.ts
@@ -1,5 +1,5 @@
 import { needsHelp } from '@hazellift/decisions'
-import type { CallerView } from '@hazellift/decisions'
+import type { OriginView } from '@hazellift/decisions'
 
 /** A shorter overload is no reason to hand jobs on. */
 const MIN_OVERLOAD_MS = 300
@@ -22,7 +22,7 @@
   private pausedUntil = -Infinity
 
   /** Evaluates the entry's own load; to be called a few tens of times a second. */
-  observe (ownLoad: CallerView, now: number): void {
+  observe (ownLoad: OriginView, now: number): void {
     const neededHelp = this.needsHelpNow
     this.needsHelpNow = needsHelp(ownLoad, neededHelp)
     if (this.needsHelpNow && !neededHelp) this.needsHelpSince = now
--- a/packages/coordination/tests/handoff/handOn.test.ts
+++ b/packages/coordination/tests/handoff/handOn.test.ts
@@ -1,7 +1,7 @@
 import { seededRandom } from '@hazellift/common'
 import { REASONS } from '@hazellift/protocol'
 import { describe, expect, it } from 'vitest'
-import { overlaps } from '../leased/fakeEndpoint.js'
+import { overlappingRuns } from '../leased/fakeEndpoint.js'
 import { HandOnNetwork } from './handOnNetwork.js'
 
 /** Delay that callers keep before they send a job again; longer than the termination bound. */
@@ -20,7 +20,7 @@
 
 const submit = (network: HandOnNetwork, entry: number, id: string, count = 2) => network.leased.submit(entry, id, count, { objective: OBJECTIVE })
 
-const countRuns = ({ leased: { endpoints } }: HandOnNetwork): number => endpoints.reduce((sum, { past, open }) => sum + past.length + open.length, 0)
+const countRuns = ({ leased: { endpoints } }: HandOnNetwork): number => endpoints.reduce((sum, { endedRuns: past, openRuns: open }) => sum + past.length + open.length, 0)
 
 /** Age of the timestamp that an entry echoed last to an agent, in ms; the highest of all its agents. */
 const oldestEchoAgeMs = ({ leased: { clock, entries } }: HandOnNetwork, entry: number): number =>
@@ -33,7 +33,7 @@
  */
 const lateEchoes = ({ leased: { entries } }: HandOnNetwork): number[] =>
   [...entries[1]!.dispatcher.fleet.agents.values()].flatMap(({ echoedStampMs, sent }) =>
-    [...sent.values()].flatMap(({ job: { sponsor } }) => sponsor !== undefined && echoedStampMs > sponsor.aliveAt ? [echoedStampMs - sponsor.aliveAt] : []))
+    [...sent.values()].flatMap(({ job: { originEntry: sponsor } }) => sponsor !== undefined && echoedStampMs > sponsor.aliveAt ? [echoedStampMs - sponsor.aliveAt] : []))
 
 /** Advances the time in small steps and checks after each that no echo is late. */
 const advanceCheckingEchoes = async (network: HandOnNetwork, ms: number): Promise<void> => {
@@ -45,7 +45,7 @@
 
 /** When entry 1 last knew the origin entry of its hosted jobs to be alive, on the common clock. */
 const originAliveAt = ({ leased: { entries } }: HandOnNetwork): number => Math.max(...[...entries[1]!.dispatcher.fleet.agents.values()]
-  .flatMap(({ sent }) => [...sent.values()].map(({ job: { sponsor } }) => sponsor?.aliveAt ?? -Infinity)))
+  .flatMap(({ sent }) => [...sent.values()].map(({ job: { originEntry: sponsor } }) => sponsor?.aliveAt ?? -Infinity)))
 
 describe('jobs handed on to another entry', () => {
   it('an entry with a late event loop hands its jobs on to its neighbour, which runs each of them once', async () => {
@@ -53,7 +53,7 @@
     for (let job = 0; job < 4; job++) submit(network, 0, `j${job}`, 1)
     await network.advance(400)
     expect(network.counts).toMatchObject({ handedOn: 4, hosted: 4, refused: 0, returned: [] })
-    expect([...network.leased.ends.values()].map(({ type }) => type)).toEqual(Array.from({ length: 4 }, () => 'complete'))
+    expect([...network.leased.jobEnds.values()].map(({ type }) => type)).toEqual(Array.from({ length: 4 }, () => 'complete'))
     expect(countRuns(network)).toBe(4)
     expect(network.entries[1]!.host.size).toBe(0)
     expect(network.entries[0]!.router.outstanding).toBe(0)
@@ -73,7 +73,7 @@
     for (let job = 0; job < 3; job++) submit(network, 0, `j${job}`, 1)
     await network.advance(600)
     expect(network.counts.handedOn).toBe(handedOn)
-    expect([...network.leased.ends.values()].map(({ type }) => type)).toEqual(['complete', 'complete', 'complete'])
+    expect([...network.leased.jobEnds.values()].map(({ type }) => type)).toEqual(['complete', 'complete', 'complete'])
     expect(countRuns(network)).toBe(3)
   })
 
@@ -95,7 +95,7 @@
     submit(network, 0, 'j', 1)
     await network.advance(1500)
     expect(network.counts.returned).toEqual(['refused placed'])
-    expect(network.leased.ends.get('j')).toEqual({ type: 'complete' })
+    expect(network.leased.jobEnds.get('j')).toEqual({ type: 'complete' })
   })
 
   /** Faults while a job that was handed on runs at the neighbour. */
@@ -137,8 +137,8 @@
     await act(network)
     await network.advance(4000)
     expect(network.counts.returned).toEqual(returned)
-    expect(network.leased.ends.get('j')).toEqual({ type: 'complete' })
-    expect(overlaps(network.leased.endpoints)).toEqual([])
+    expect(network.leased.jobEnds.get('j')).toEqual({ type: 'complete' })
+    expect(overlappingRuns(network.leased.endpoints)).toEqual([])
   })
 
   it('a job whose neighbour is lost, and whose answer would come too late, fails so that the caller may send it again, and nothing runs', async () => {
@@ -148,8 +148,8 @@
     await network.advance(60)
     network.kill(1)
     await network.advance(1300)
-    expect(network.leased.ends.get('j')).toMatchObject({ type: 'failed', reason: REASONS.handOnLost })
-    expect(network.leased.endpoints.flatMap(({ open }) => open)).toEqual([])
+    expect(network.leased.jobEnds.get('j')).toMatchObject({ type: 'failed', reason: REASONS.handOnLost })
+    expect(network.leased.endpoints.flatMap(({ openRuns: open }) => open)).toEqual([])
   })
 
   /** Losses of the origin entry, after which the caller sends the job again, to the neighbour or to a third entry. */
@@ -180,8 +180,8 @@
     await network.advance(RECONNECT_MS)
     submit(network, to, 'j', 3)
     await network.advance(6000)
-    expect(network.leased.ends.get('j')).toEqual({ type: 'complete' })
-    expect(overlaps(network.leased.endpoints)).toEqual([])
+    expect(network.leased.jobEnds.get('j')).toEqual({ type: 'complete' })
+    expect(overlappingRuns(network.leased.endpoints)).toEqual([])
   })
 
   it('no timestamp made after the death of the origin entry is echoed to agents that run its jobs', async () => {
@@ -240,9 +240,9 @@
     }
     healAll()
     await network.advance(12_000)
-    expect(overlaps(network.leased.endpoints)).toEqual([])
+    expect(overlappingRuns(network.leased.endpoints)).toEqual([])
     expect(network.counts.hosted).toBeGreaterThan(3)
-    for (const id of waiting.keys()) expect(network.leased.ends.has(id)).toBe(true)
+    for (const id of waiting.keys()) expect(network.leased.jobEnds.has(id)).toBe(true)
     expect(network.entries[0]!.router.outstanding).toBe(0)
   })
 
@@ -255,8 +255,8 @@
     await network.advance(50)
     network.cutStream({ toHost: false })
     await network.advance(1500)
-    expect(network.leased.ends.get('j')).toEqual({ type: 'complete' })
-    expect(overlaps(network.leased.endpoints)).toEqual([])
+    expect(network.leased.jobEnds.get('j')).toEqual({ type: 'complete' })
+    expect(overlappingRuns(network.leased.endpoints)).toEqual([])
   })
 
   it('the neighbour\'s own jobs complete after the origin entry of a hosted job has died', async () => {
@@ -268,8 +268,8 @@
     await network.advance(60)
     network.kill(0)
     await network.advance(2000)
-    expect(network.leased.ends.get('own')).toEqual({ type: 'complete' })
-    expect(network.leased.startsEnded.get(REASONS.leaseExpired)).toBeUndefined()
+    expect(network.leased.jobEnds.get('own')).toEqual({ type: 'complete' })
+    expect(network.leased.endedStartCounts.get(REASONS.leaseExpired)).toBeUndefined()
     expect(oldestEchoAgeMs(network, 1)).toBeLessThan(400)
   })
 
@@ -279,6 +279,6 @@
     await network.advance(160)
     submit(network, 1, 'own', 1)
     await network.advance(300)
-    expect(network.leased.ends.get('own')).toEqual({ type: 'complete' })
+    expect(network.leased.jobEnds.get('own')).toEqual({ type: 'complete' })
   })
 })
--- a/packages/coordination/tests/handoff/handOnNetwork.ts
+++ b/packages/coordination/tests/handoff/handOnNetwork.ts
@@ -1,9 +1,9 @@
 import { create } from '@bufbuild/protobuf'
-import type { CallerView, HandOnLimits } from '@hazellift/decisions'
+import type { OriginView, HandOnLimits } from '@hazellift/decisions'
 import { CallerFrameSchema, HandOnHelloSchema, HostFrameSchema } from '@hazellift/protocol'
 import { HandedOnJobs, HostedJobs, LeasedJobs, longestWait } from '../../src/index.js'
 import type { HandOnLink } from '../../src/index.js'
-import { LeasedNetwork, TIMES } from '../leased/leasedNetwork.js'
+import { LeasedNetwork, LEASE_TIMES } from '../leased/leasedNetwork.js'
 
 const STEP_MS = 5
 const SWEEP_MS = 25
@@ -41,7 +41,7 @@
   private mayDial = true
 
   constructor (private readonly entryCount: number, private readonly agentCount: number) {
-    this.leased = new LeasedNetwork(entryCount, agentCount, TIMES, CAPACITY)
+    this.leased = new LeasedNetwork(entryCount, agentCount, LEASE_TIMES, CAPACITY)
     for (let index = 0; index < entryCount; index++) this.entries.push(this.createEntry(index))
   }
 
@@ -90,11 +90,11 @@
     const leased = this.leased.entries[index]!
     const { dispatcher } = leased
     const { clock } = this.leased
-    const ownLoad = (): CallerView => ({ lagMs: entry.lagMs, returnedShare: 0, waitMs: longestWait(dispatcher.fleet, clock.now()) })
+    const ownLoad = (): OriginView => ({ lagMs: entry.lagMs, returnedShare: 0, waitMs: longestWait(dispatcher.fleet, clock.now()) })
     const router = new HandedOnJobs({
       clock,
       zone: ZONE,
-      times: TIMES,
+      times: LEASE_TIMES,
       dispatcher,
       ownLoad,
       limits: () => this.limits,
--- a/packages/sessions/src/handOnStreams.ts
+++ b/packages/sessions/src/handOnStreams.ts
@@ -6,7 +6,7 @@
 import { createLogger, errorMessage } from '@hazellift/common'
 import { Outbox } from '@hazellift/coordination'
 import type { HandedOnJobs, HandOnLink, HandOnPeer, HostedJobs, OriginPeer } from '@hazellift/coordination'
-import type { EntryPlace } from '@hazellift/decisions'
+import type { EntryLocation } from '@hazellift/decisions'
 import { CallerFrameSchema, HandOnHelloSchema, HandOnService, HostFrameSchema } from '@hazellift/protocol'
 import type { CallerFrame, HostFrame } from '@hazellift/protocol'
 
@@ -27,7 +27,7 @@
  * @param neighbour - where it is
  * @param options - what a stream needs
  */
-export const dialHandOn = async ({ address, zone }: EntryPlace, { jobs, entryId, zone: ownZone, signal }: DialHandOnOptions): Promise<void> => {
+export const dialHandOn = async ({ address, zone }: EntryLocation, { jobs, entryId, zone: ownZone, signal }: DialHandOnOptions): Promise<void> => {
   const outbox = new Outbox<CallerFrame>(() => create(CallerFrameSchema), () => yieldTurn())
   outbox.add((frame) => { frame.hello = create(HandOnHelloSchema, { entryId, zone: ownZone }) })
   const over = new AbortController()
