--- a/packages/coordination/src/leased/leasedFleet.ts
+++ b/packages/coordination/src/leased/leasedFleet.ts
@@ -84,7 +84,7 @@
     if (known !== undefined) return known
     const { clock, setAsideShare, setAsideBackoff } = this.options
     const { order, setAside } = this.policy
-    const health = new EndpointHealth({ now: clock.now, maxShare: setAsideShare, backoff: setAsideBackoff, setAside })
+    const health = new EndpointHealth({ now: clock.now, maxEjectedShare: setAsideShare, ejectionBackoff: setAsideBackoff, eject: setAside })
     const service = { queue: new LeasedQueue(order), load: new LoadRecord(clock.now), health, isPumpDue: false, askedAt: -Infinity, view: undefined }
     this.services.set(name, service)
     return service
