--- a/packages/coordination/src/dispatch/agentHandle.ts
+++ b/packages/coordination/src/dispatch/agentHandle.ts
@@ -1,49 +1,56 @@
 import type { AgentLink } from '../session/types.js'
 import type { Job } from '../jobs/job.js'
 
-/** A start in flight. */
+/** A task that was sent to an agent and whose end is not known yet. */
 export interface SentTask {
   job: Job
+  /** Index of the task in its job. */
   task: number
+  /** On the entry's monotonic clock, in ms. */
   sentAt: number
-  /** Charged to the workspace when it was sent, in ms. */
+  /** Estimated run time that was charged to the workspace when the task was sent, in ms. */
   estimateMs: number
 }
 
-/** What an entry knows of one agent and its endpoint. */
+/** An entry's view of one agent and its endpoint. */
 export interface AgentHandle {
   agentId: string
+  /** Tells this process of the agent from earlier ones. */
   incarnation: string
   zone: string
+  /** Service that the endpoint offers; empty for none. */
   service: string
   slots: number
   address: string
   isLeaving: boolean
-  /** Unset while no session is open. */
+  /** Link of the open session; undefined while there is none. */
   link: AgentLink | undefined
-  /** False until the agent told what it holds. */
+  /** False until the agent has listed the tasks that it accepted in earlier sessions. */
   isResumed: boolean
+  /** Starts that this entry may still send. */
   credits: number
-  /** Credits kept while no task waits. */
+  /** Credits that this entry keeps while no task waits. */
   standingCredits: number
-  /** Slots to count on: as the agent said last, less the starts sent since. */
+  /** Slots that this entry can use: the agent's latest figure, less the starts sent since. */
   freeSlots: number
-  /** Demand that the agent was told last. */
+  /** Demand that was last reported to the agent, less the credits received since. */
   reportedDemand: number
-  /** The agent's own clock, as it said last. */
+  /** Latest timestamp of the agent's own clock, in ms. */
   stampMs: number
-  /** The last stamp of the session before this one. */
+  /** Last timestamp of the agent in the latest resumed session before this one, in ms. */
   previousSessionStampMs: number
+  /** Tasks in flight at this agent, by task key. */
   sent: Map<string, SentTask>
+  /** Cancels the timer that declares the agent lost; undefined while none runs. */
   cancelLossTimer: (() => void) | undefined
 }
 
 /**
- * A handle for an agent that said hello.
+ * Creates the handle of an agent that opens its first session with this entry.
  *
- * @param agentId - the agent's name
- * @param incarnation - its process
- * @param zone - its availability zone
+ * @param agentId - name of the agent
+ * @param incarnation - id of the agent's process
+ * @param zone - availability zone of the agent
  */
 export const createAgentHandle = (agentId: string, incarnation: string, zone: string): AgentHandle => ({
   agentId,
--- a/packages/coordination/src/dispatch/demand.ts
+++ b/packages/coordination/src/dispatch/demand.ts
@@ -1,11 +1,16 @@
 import type { AgentHandle } from './agentHandle.js'
 
+/** Reports a demand to an agent with the next frame. */
 const sendDemand = (agent: AgentHandle, demand: number): void => {
   agent.reportedDemand = demand
   agent.link?.add((frame) => { frame.demand = demand })
 }
 
-/** Asks agents for the free slots that they are known to have; gives what remains to ask for. */
+/**
+ * Requests credits from agents with free slots, those with the most free slots first.
+ *
+ * @returns the demand that neither these slots nor earlier reports cover
+ */
 const requestFreeSlots = (agents: AgentHandle[], waiting: number): number => {
   let remaining = waiting
   for (const agent of [...agents].sort((a, b) => b.freeSlots - a.freeSlots)) {
@@ -17,27 +22,28 @@
 }
 
 /**
- * Tells agents how many credits this entry wants: first those known to have
- * free slots, then all alike, for whatever becomes free first. A message goes
- * out only to agents that were told nothing; lesser changes travel with starts.
+ * Reports to agents how many credits this entry needs. Agents with free slots
+ * are asked first; the remaining demand is spread evenly, so that it is met by
+ * whichever slot becomes free first. Only agents without a reported demand get
+ * a message; other changes are reported with the next start (`refreshDemand`).
  *
- * @param agents - those that take new work
- * @param waiting - tasks that wait for a credit
+ * @param agents - agents that accept new tasks
+ * @param waiting - number of tasks that wait for a credit
  */
 export const distributeDemand = (agents: AgentHandle[], waiting: number): void => {
   const remaining = requestFreeSlots(agents, waiting)
   if (remaining === 0) return
-  const unreported = agents.filter(({ reportedDemand: toldDemand }) => toldDemand === 0)
+  const unreported = agents.filter(({ reportedDemand }) => reportedDemand === 0)
   const share = Math.ceil(remaining / Math.max(1, unreported.length))
   for (const agent of unreported.slice(0, remaining)) sendDemand(agent, share)
 }
 
 /**
- * Adds the demand to a frame that goes to the agent anyway.
+ * Adds the current demand to a frame that is sent to the agent in any case.
  *
- * @param agent - where a start was just sent
- * @param waiting - tasks that wait for a credit
- * @param agentCount - agents that share the demand
+ * @param agent - agent to which a start was just sent
+ * @param waiting - number of tasks that wait for a credit
+ * @param agentCount - number of agents that share the demand
  */
 export const refreshDemand = (agent: AgentHandle, waiting: number, agentCount: number): void => {
   const share = Math.floor(waiting / Math.max(1, agentCount))
@@ -45,9 +51,10 @@
 }
 
 /**
- * Gives back credits that reserve slots which this entry has no task for.
+ * Returns credits beyond the standing ones, as they reserve slots for which
+ * this entry has no task.
  *
- * @param agents - those that take new work
+ * @param agents - agents that accept new tasks
  */
 export const returnExcessCredits = (agents: AgentHandle[]): void => {
   for (const agent of agents) {
--- a/packages/coordination/src/dispatch/dispatcher.ts
+++ b/packages/coordination/src/dispatch/dispatcher.ts
@@ -16,10 +16,11 @@
 import { Takeovers } from './takeovers.js'
 
 /**
- * Queues of one entry and the starts it has in flight.
+ * Queues the tasks of one entry, sends them to agents and follows them until they end.
  *
- * Invariant: a task is in exactly one state, and leaves `sent` only by a
- * result, by proof that its start was not accepted, or with its job's failure.
+ * Invariant: a task is in exactly one state. It leaves the state `sent` only
+ * when its result arrives, when it is certain that its start was not accepted,
+ * or when its job fails.
  */
 export class Dispatcher implements SessionDispatcher<AgentHandle> {
   private readonly services: ServiceRegistry
@@ -31,11 +32,11 @@
   private readonly sender: TaskSender
 
   constructor (private readonly options: DispatcherOptions) {
-    const { order, weightOf, maxRunningOf, clock, maxEjectedShare: setAsideShare, ejectionBackoff: setAsideBackoff, collectTimeoutMs, events } = options
+    const { order, weightOf, maxRunningOf, clock, maxEjectedShare, ejectionBackoff, collectTimeoutMs, events } = options
     const mayRun = (workspace: string) => this.runningTasks(workspace) < maxRunningOf(workspace)
     this.services = new ServiceRegistry(() => new ServiceState(
       { order, weightOf, mayRun },
-      { now: clock.now, maxEjectedShare: setAsideShare, ejectionBackoff: setAsideBackoff },
+      { now: clock.now, maxEjectedShare, ejectionBackoff },
       options.isEvacuated))
     this.sender = new TaskSender({ ...options, inFlight: this.inFlight })
     this.endHandler = new TaskEndHandler({
@@ -51,46 +52,46 @@
       inFlight: this.inFlight,
       collectTimeoutMs,
       isOpen: ({ key }) => this.jobs.has(key),
-      onIncomplete: (job) => events.failed(job, REASONS.ownerLost, 'the owner was lost and no agent reached knows all tasks')
+      onIncomplete: (job) => events.failed(job, REASONS.ownerLost, 'the entry that owned the job was lost, and the agents that could be reached do not know all of its tasks')
     })
   }
 
-  /** All agents known, with a session or waiting for one to resume. */
+  /** All known agents: those with a session, and those whose session may still resume. */
   get knownAgents (): AgentHandle[] {
     return [...this.agents.values()]
   }
 
-  /** Jobs that are not finished. */
+  /** Number of jobs that are not finished. */
   get openJobs (): number {
     return this.jobs.size
   }
 
-  /** The state of a service, if an endpoint or a job ever named it. */
+  /** The state of a service; undefined if no endpoint or job has named it. */
   service (name: string): ServiceState | undefined {
     return this.services.find(name)
   }
 
-  /** Services with endpoints or queued tasks. */
+  /** Names of all services that an endpoint or a job has named. */
   get serviceNames (): string[] {
     return this.services.names
   }
 
-  /** Tasks of a workspace in flight from this entry. */
+  /** Number of tasks of a workspace that this entry has in flight. */
   runningTasks (workspace: string): number {
     return this.inFlight.runningTasks(workspace)
   }
 
-  /** Tasks of a workspace that wait at this entry. */
+  /** Number of tasks of a workspace that are queued at this entry. */
   queuedTasks (workspace: string): number {
     return this.services.queuedTasks(workspace)
   }
 
-  /** Tasks of all workspaces that wait at this entry. */
+  /** Number of tasks of all workspaces that are queued at this entry. */
   get queuedTotal (): number {
     return this.services.queuedTotal
   }
 
-  /** Starts the tasks of a job that this entry owns. */
+  /** Queues the tasks of a job that this entry owns. */
   add (job: Job): void {
     this.jobs.set(job.key, job)
     const service = this.services.getOrCreate(job.service)
@@ -99,25 +100,27 @@
   }
 
   /**
-   * Asks all agents what they know of a job taken over; nothing of it starts any more.
+   * Asks all agents which tasks of a job they know, after this entry has taken
+   * the job over. No task of it is started from then on.
    *
-   * @param keepMs - how long agents must refuse its starts: the claim's deadline
+   * @param keepMs - how long agents must refuse starts of the job, in ms: until the claim's deadline
    */
   collect (job: Job, keepMs: number): void {
     this.jobs.set(job.key, job)
     this.takeovers.begin(job, keepMs, this.knownAgents)
   }
 
-  /** Ends a job early: what waits is dropped, what runs is aborted. */
+  /** Cancels a job: removes its queued tasks and aborts those that run. */
   drop (job: Job): void {
     const message = create(RevokeSchema, { workspace: job.workspace, submission: job.id })
     for (const agent of this.release(job)) agent.link?.add((frame) => { frame.revokes.push(message) })
   }
 
   /**
-   * Lets go of a job without ending what runs, as another entry owns it now.
+   * Forgets a job without aborting its running tasks, for a job that another
+   * entry owns by now.
    *
-   * @returns the agents that had a start of it
+   * @returns the agents that had tasks of it in flight
    */
   release (job: Job): AgentHandle[] {
     this.services.find(job.service)?.queue.remove(job)
@@ -127,7 +130,7 @@
     return this.inFlight.removeJob(job, this.knownAgents)
   }
 
-  /** An agent opened a session. An earlier one with it is over. */
+  /** Handles a new session of an agent; an earlier session with it is closed. */
   open (hello: Hello, link: AgentLink): AgentHandle {
     const known = this.agents.get(hello.agentId)
     if (known !== undefined && known.incarnation !== hello.incarnation) this.onAgentLost(known)
@@ -141,7 +144,7 @@
     return agent
   }
 
-  /** Handles what an agent sent. */
+  /** Handles a frame from an agent; one of a replaced session is ignored. */
   onFrame (agent: AgentHandle, link: AgentLink, frame: AgentFrame): void {
     if (agent.link !== link) return
     agent.stampMs = frame.stampMs
@@ -155,11 +158,11 @@
       this.takeovers.onCollected(agent, this.jobs.get(submissionKey(workspace, submission)), running)
     }
     if (frame.credits > 0) this.onCredits(agent, frame.credits)
-    // A result may lift the limit of a workspace that waits for another service.
+    // A result may bring its workspace below its limit, which lets tasks of other services start.
     this.scheduleAll()
   }
 
-  /** The session ended; its tasks wait for it to resume. */
+  /** Handles the end of a session. Its tasks stay in flight until it resumes or the resume window ends. */
   closed (agent: AgentHandle, link: AgentLink): void {
     if (agent.link !== link) return
     agent.link = undefined
@@ -167,16 +170,19 @@
     agent.cancelLossTimer = this.options.clock.after(this.options.resumeWindowMs, () => this.onAgentLost(agent))
   }
 
-  /** Runs a pass over every queue, as limits or weights changed. */
+  /** Schedules a send for every service with queued tasks, as limits or weights may have changed. */
   scheduleAll (): void {
     for (const service of this.services.withQueuedTasks) this.sender.schedule(service)
   }
 
   /**
-   * A session resumed. A start that the agent does not hold was never accepted,
-   * provided the agent cannot have forgotten it: its memory is far longer than
-   * the resume window. Both are measured on the agent's clock, as an entry that
-   * was paused may read frames long after they were sent.
+   * Compares the tasks that a resumed session lists with those sent. A start
+   * that is not listed was never accepted, provided that the agent cannot have
+   * forgotten it: agents remember starts far longer than the resume window. The
+   * time since the last session is measured on the agent's clock, as an entry
+   * that was paused may read frames long after they were sent.
+   *
+   * @param accepted - tasks that the agent has accepted and whose results were not acknowledged
    */
   private onResume (agent: AgentHandle, accepted: TaskKey[]): void {
     agent.isResumed = true
@@ -200,7 +206,7 @@
     }
   }
 
-  /** The agent is gone with what it held. */
+  /** Fails the jobs of all tasks in flight at an agent that is lost. */
   private onAgentLost (agent: AgentHandle): void {
     agent.cancelLossTimer?.()
     agent.link?.close()
@@ -214,11 +220,11 @@
 
   private failLostJob (job: Job, agent: AgentHandle): void {
     if (isFinished(job)) return
-    this.options.events.failed(job, REASONS.agentLost, `agent ${agent.agentId} was lost with a task in its hands`)
+    this.options.events.failed(job, REASONS.agentLost, `agent ${agent.agentId} was lost while it had a task of this job in flight`)
   }
 
   private setEndpoint (agent: AgentHandle, { service, slots, address, standingCredits }: EndpointState): void {
-    // Credits for the endpoint's earlier state are void at the agent, too.
+    // The agent, too, has cancelled the credits that it granted for the earlier state of its endpoint.
     agent.credits = 0
     agent.reportedDemand = 0
     agent.slots = slots
@@ -235,7 +241,7 @@
 
   private onCredits (agent: AgentHandle, credits: number): void {
     agent.credits += credits
-    // The agent counts its grants against the demand that it was told, too.
+    // The agent, too, subtracts the credits that it grants from the reported demand.
     agent.reportedDemand = Math.max(0, agent.reportedDemand - credits)
     const service = this.services.find(agent.service)
     if (service !== undefined) this.sender.schedule(service)
--- a/packages/coordination/src/dispatch/inFlightTasks.ts
+++ b/packages/coordination/src/dispatch/inFlightTasks.ts
@@ -1,22 +1,26 @@
 import type { Job } from '../jobs/job.js'
 import type { AgentHandle, SentTask } from './agentHandle.js'
 
-/** Starts in flight, by agent and counted by workspace. */
+/** Keeps the tasks in flight at each agent and counts them by workspace. */
 export class InFlightTasks {
   private readonly counts = new Map<string, number>()
 
-  /** Tasks of a workspace in flight. */
+  /** Number of tasks of a workspace in flight. */
   runningTasks (workspace: string): number {
     return this.counts.get(workspace) ?? 0
   }
 
-  /** A start was sent, or is known to run. */
+  /** Adds a task that was sent, or that an agent has listed as running. */
   add (agent: AgentHandle, key: string, sent: SentTask): void {
     agent.sent.set(key, sent)
     this.counts.set(sent.job.workspace, this.runningTasks(sent.job.workspace) + 1)
   }
 
-  /** A start is over, or does not count any more. */
+  /**
+   * Removes a task that ended or that no longer counts as in flight.
+   *
+   * @returns the task; undefined if it was not in flight at this agent
+   */
   remove (agent: AgentHandle, key: string): SentTask | undefined {
     const sent = agent.sent.get(key)
     if (sent === undefined) return undefined
@@ -29,9 +33,9 @@
   }
 
   /**
-   * Forgets all starts of a job.
+   * Removes all tasks of a job.
    *
-   * @returns the agents that had one
+   * @returns the agents that had a task of it in flight
    */
   removeJob (job: Job, agents: AgentHandle[]): AgentHandle[] {
     return agents.filter((agent) => {
--- a/packages/coordination/src/dispatch/pickRules.ts
+++ b/packages/coordination/src/dispatch/pickRules.ts
@@ -2,24 +2,26 @@
 import type { EndpointHealth } from '../health/endpointHealth.js'
 import type { AgentHandle } from './agentHandle.js'
 
-/** What a rule may look at. */
+/** Facts that a pick rule may use beside the agents. */
 export interface PickContext {
+  /** Availability zone of the entry. */
   zone: string
   health: EndpointHealth
   random: Random
 }
 
-/** Chooses the agent for the next start, or none if it should wait. */
+/** Chooses the agent for the next start; undefined if the task should stay queued. */
 export interface PickRule {
-  /** True if a start is sent against a credit only. */
+  /** True if each start needs a credit of the agent. */
   needsCredit: boolean
   pick: (agents: AgentHandle[], context: PickContext) => AgentHandle | undefined
 }
 
-/** Time that crossing zones costs, in ms. */
+/** Added to the expected time at an agent of another availability zone, in ms. */
 const CROSS_ZONE_PENALTY_MS = 1
-/** Below this, differences of observed speed are noise. */
+/** Smaller values of slowness are treated as noise. */
 const MIN_NOTABLE_SLOWNESS = 1.5
+/** Assumed run time of a task until one of its service has ended, in ms. */
 const ASSUMED_RUN_MS = 100
 
 const expectedMs = (agent: AgentHandle, { zone, health }: PickContext): number => {
@@ -32,7 +34,7 @@
   let best: AgentHandle | undefined
   let bestMs = Infinity
   for (const agent of agents) {
-    // A credit alone is no slot: where none is free, a task waits better here, under its workspace's rules.
+    // A standing credit reserves no slot. While no slot is free, the task stays here, where the order and limits of workspaces apply.
     if (agent.credits === 0 || agent.freeSlots <= 0 || !context.health.maySend(agent.agentId)) continue
     const ms = expectedMs(agent, context)
     const isBetter = ms < bestMs || (ms === bestMs && agent.freeSlots > best!.freeSlots)
@@ -52,7 +54,7 @@
   return first !== undefined && second !== undefined && second.sent.size < first.sent.size ? second : first
 }
 
-/** The product's rule, and the baselines that it is measured against. */
+/** The rule of the product (`credits`) and the baselines for measurements. */
 export const PICK_RULES = {
   credits: { needsCredit: true, pick: pickByCredit },
   random: { needsCredit: false, pick: pickRandom },
--- a/packages/coordination/src/dispatch/serviceRegistry.ts
+++ b/packages/coordination/src/dispatch/serviceRegistry.ts
@@ -1,44 +1,49 @@
 import type { AgentHandle } from './agentHandle.js'
 import { ServiceState } from './serviceState.js'
 
-/** The services that endpoints or jobs have named. */
+/** Holds the state of every service that an endpoint or a job has named. */
 export class ServiceRegistry {
   private readonly services = new Map<string, ServiceState>()
 
   constructor (private readonly create: () => ServiceState) {}
 
-  /** A service, made at its first mention. */
+  /** The state of a service; created on first use. */
   getOrCreate (name: string): ServiceState {
     const service = this.services.get(name) ?? this.create()
     this.services.set(name, service)
     return service
   }
 
-  /** A service, if anybody named it. */
+  /** The state of a service; undefined if no endpoint or job has named it. */
   find (name: string): ServiceState | undefined {
     return this.services.get(name)
   }
 
+  /** Names of all known services. */
   get names (): string[] {
     return [...this.services.keys()]
   }
 
-  /** Services with tasks that wait. */
+  /** Services with queued tasks. */
   get withQueuedTasks (): ServiceState[] {
     return [...this.services.values()].filter(({ queue }) => queue.size > 0)
   }
 
-  /** Tasks of a workspace that wait. */
+  /** Number of tasks of a workspace that are queued. */
   queuedTasks (workspace: string): number {
     return this.withQueuedTasks.reduce((sum, { queue }) => sum + queue.queuedTasks(workspace), 0)
   }
 
-  /** Tasks that wait. */
+  /** Number of tasks that are queued for all services. */
   get queuedTotal (): number {
     return this.withQueuedTasks.reduce((sum, { queue }) => sum + queue.size, 0)
   }
 
-  /** Moves an agent to the service that its endpoint offers now; an empty name for none. */
+  /**
+   * Assigns an agent to the service that its endpoint offers.
+   *
+   * @param name - name of the service; empty if the endpoint offers none
+   */
   assign (agent: AgentHandle, name: string): void {
     if (agent.service === name) return
     const previous = this.services.get(agent.service)
--- a/packages/coordination/src/dispatch/takeovers.ts
+++ b/packages/coordination/src/dispatch/takeovers.ts
@@ -8,32 +8,33 @@
 import type { AgentHandle } from './agentHandle.js'
 import type { InFlightTasks } from './inFlightTasks.js'
 
-/** What takeovers need. */
+/** Options of `Takeovers`. */
 export interface TakeoverOptions {
   clock: Clock
   inFlight: InFlightTasks
-  /** How long to wait for agents to say what they know, in ms. */
+  /** How long to wait for agents to list the tasks that they know, in ms. */
   collectTimeoutMs: number
+  /** True while the job is not finished at this entry. */
   isOpen: (job: Job) => boolean
-  /** No agent reached knows all tasks. */
+  /** Called if the agents that could be reached do not know all tasks of the job. */
   onIncomplete: (job: Job) => void
 }
 
 /**
- * Jobs taken over from a lost owner: asks agents what they know, and waits for
- * what runs. Nothing of such a job is ever started here.
+ * Completes jobs that were taken over from a lost owner: asks agents which tasks
+ * they know and waits for those that run. It never starts a task of such a job.
  */
 export class Takeovers {
   constructor (private readonly options: TakeoverOptions) {}
 
   /**
-   * Asks every agent that can be reached.
+   * Asks every agent with a resumed session which tasks of the job it knows.
    *
-   * @param keepMs - how long agents must refuse its starts: the claim's deadline
+   * @param keepMs - how long agents must refuse starts of the job, in ms: until the claim's deadline
    */
   begin (job: Job, keepMs: number, agents: AgentHandle[]): void {
     const { clock, collectTimeoutMs } = this.options
-    const reachable = agents.filter(({ link, isResumed: resumed }) => link !== undefined && resumed)
+    const reachable = agents.filter(({ link, isResumed }) => link !== undefined && isResumed)
     job.collecting = new Set(reachable.map(({ agentId }) => agentId))
     const message = create(CollectSchema, { workspace: job.workspace, submission: job.id, keepMs })
     for (const { link } of reachable) link!.add((frame) => { frame.collects.push(message) })
@@ -41,7 +42,10 @@
     if (reachable.length === 0) this.failIfIncomplete(job)
   }
 
-  /** An agent said which tasks of the job it runs; results of those that ended came before. */
+  /**
+   * Handles an agent's list of the tasks of the job that it runs. Results of
+   * tasks that ended there have arrived before.
+   */
   onCollected (agent: AgentHandle, job: Job | undefined, running: TaskKey[]): void {
     if (job?.collecting === undefined) return
     for (const key of running) this.expectResult(agent, job, key)
--- a/packages/coordination/src/dispatch/taskEndHandler.ts
+++ b/packages/coordination/src/dispatch/taskEndHandler.ts
@@ -11,32 +11,32 @@
 import type { ServiceRegistry } from './serviceRegistry.js'
 import type { ServiceState } from './serviceState.js'
 
-/** What settling ends needs. */
+/** Options of a `TaskEndHandler`. */
 export interface TaskEndHandlerOptions {
   clock: Clock
   events: DispatchEvents
   services: ServiceRegistry
   inFlight: InFlightTasks
-  /** Jobs that are not finished, by key. */
+  /** Jobs that are not finished, by job key. */
   jobs: Map<string, Job>
-  /** A task waits again. */
+  /** Called when a task was queued again. */
   onQueued: (service: ServiceState) => void
 }
 
-/** Failures after which the attempt is known to be over: the endpoint answered. After others it may still run. */
+/** Reasons of failures that the endpoint itself answered, so the attempt has terminated. After any other failure it may still run. */
 const ANSWERED_REASONS: ReadonlySet<string> = new Set([REASONS.endpointError, REASONS.badAnswer])
 
-/** What becomes of a task, its job and its endpoint's record once a start has ended. */
+/** Updates a task, its job and the health of its endpoint after a start has ended. */
 export class TaskEndHandler {
   constructor (private readonly options: TaskEndHandlerOptions) {}
 
-  /** An agent told how a start ended. */
+  /** Handles a result from an agent. */
   onResult (agent: AgentHandle, result: TaskResult): void {
     agent.link?.acknowledge(result.seq)
     const key = result.key!
     const sent = this.options.inFlight.remove(agent, taskKey(key))
     if (sent !== undefined) this.correctCharge(sent, result)
-    // Also where the job is over: a job's first failure must not hide the others of its endpoint.
+    // Also if the job is finished: after the first failure of a job, the other failures at the endpoint must still count.
     this.recordHealth(agent, result)
     const job = this.options.jobs.get(submissionKey(key.workspace, key.submission))
     const task = job?.tasks[key.task]
@@ -78,10 +78,10 @@
     this.options.events.complete(job)
   }
 
-  /** The start is proved void, so the task may be sent elsewhere. */
+  /** Handles a start that is certain not to have happened: the task may be sent to another agent. */
   onNotStarted (job: Job, index: number, reason: Reason): void {
     this.options.events.wasted(reason)
-    if (job.collecting !== undefined) return this.options.events.failed(job, REASONS.ownerLost, 'a task never started')
+    if (job.collecting !== undefined) return this.options.events.failed(job, REASONS.ownerLost, 'the entry that owned the job was lost, and a task of the job was never started')
     job.mayHaveRun--
     this.requeue(job, index)
   }
--- a/packages/coordination/src/dispatch/taskSender.ts
+++ b/packages/coordination/src/dispatch/taskSender.ts
@@ -5,32 +5,34 @@
 import type { Job } from '../jobs/job.js'
 import { taskKey } from '../tasks/keys.js'
 import type { AgentHandle } from './agentHandle.js'
-import { refreshDemand, returnExcessCredits, distributeDemand } from './demand.js'
+import { distributeDemand, refreshDemand, returnExcessCredits } from './demand.js'
 import type { InFlightTasks } from './inFlightTasks.js'
 import type { PickRule } from './pickRules.js'
 import type { ServiceState } from './serviceState.js'
 
-/** What sending needs. */
+/** Options of a `TaskSender`. */
 export interface TaskSenderOptions {
   clock: Pick<Clock, 'now'>
   random: Random
-  /** The entry's availability zone. */
+  /** Availability zone of the entry. */
   zone: string
+  /** Chooses the agent for each start. */
   rule: PickRule
   inFlight: InFlightTasks
+  /** `started`: a task was sent, after it had been queued for `waitedMs`. */
   events: { started: (job: Job, waitedMs: number) => void }
-  /** Runs `fn` after the events that are ready now. */
+  /** Runs `fn` once the events that are ready now have been handled. */
   defer: (fn: () => void) => void
 }
 
-/** Run time of a task while none of its service has ended, in ms. */
+/** Assumed run time of a task until one of its service has ended, in ms. */
 const ASSUMED_RUN_MS = 100
 
-/** Sends what waits in a service's queue to its agents, and tells them how much waits. */
+/** Sends the queued tasks of a service to its agents and reports the remaining demand to them. */
 export class TaskSender {
   constructor (private readonly options: TaskSenderOptions) {}
 
-  /** Looks at a service's queue soon, once for whatever changes until then. */
+  /** Schedules a send of a service's queued tasks; calls until then have no further effect. */
   schedule (service: ServiceState): void {
     if (service.isSendScheduled) return
     service.isSendScheduled = true
--- a/packages/coordination/src/health/endpointHealth.test.ts
+++ b/packages/coordination/src/health/endpointHealth.test.ts
@@ -4,9 +4,9 @@
 
 const BACKOFF_MS = 1000
 
-const setUp = (endpoints: number, maxShare = 0.5) => {
+const setUp = (endpoints: number, maxEjectedShare = 0.5) => {
   const clock = { now: 0 }
-  const health = new EndpointHealth({ now: () => clock.now, maxEjectedShare: maxShare, ejectionBackoff: () => BACKOFF_MS })
+  const health = new EndpointHealth({ now: () => clock.now, maxEjectedShare, ejectionBackoff: () => BACKOFF_MS })
   for (let n = 0; n < endpoints; n++) health.add(`e${n}`)
   return { clock, health }
 }
@@ -17,12 +17,12 @@
 
 describe('EndpointHealth', () => {
   test.each([
-    { name: 'one that fails everything', failures: [5, 0, 0, 0], aside: ['e0'] },
-    { name: 'none that failed twice', failures: [2, 0, 0, 0], aside: [] },
-    { name: 'none if all fail alike, as a bad job makes them', failures: [5, 5, 5, 5], aside: [] },
-    { name: 'two of four at most', failures: [5, 5, 5, 0], aside: ['e0', 'e1'] },
-    { name: 'not the only endpoint', failures: [9], aside: [] }
-  ])('sets aside $name', ({ failures, aside }) => {
+    { name: 'one endpoint that fails all of its starts', failures: [5, 0, 0, 0], ejected: ['e0'] },
+    { name: 'no endpoint after two failures', failures: [2, 0, 0, 0], ejected: [] },
+    { name: 'no endpoint if all fail equally often, as with a faulty job', failures: [5, 5, 5, 5], ejected: [] },
+    { name: 'at most two of four endpoints, if half of them may be ejected', failures: [5, 5, 5, 0], ejected: ['e0', 'e1'] },
+    { name: 'no endpoint if it is the only one', failures: [9], ejected: [] }
+  ])('ejects $name', ({ failures, ejected }) => {
     const { health } = setUp(failures.length)
     for (let round = 0; round < 10; round++) {
       for (const [index, times] of failures.entries()) {
@@ -31,22 +31,22 @@
       }
     }
     const found = failures.map((_, index) => `e${index}`).filter((id) => health.stateOf(id) === HEALTH_STATES.setAside)
-    expect(found).toEqual(aside)
+    expect(found).toEqual(ejected)
   })
 
   test.each([
-    { name: 'failures alone', heard: { done: 0, failed: 3, runMs: 0 }, aside: true },
-    { name: 'two failures', heard: { done: 0, failed: 2, runMs: 0 }, aside: false },
-    { name: 'some failures among many that were done', heard: { done: 20, failed: 3, runMs: 2000 }, aside: false },
-    { name: 'mostly failures', heard: { done: 1, failed: 5, runMs: 100 }, aside: true },
-    { name: 'none but those that were done', heard: { done: 20, failed: 0, runMs: 2000 }, aside: false }
-  ])('an endpoint of which other entries tell $name is set aside: $aside', ({ heard, aside }) => {
+    { name: 'three failures and no success', ends: { done: 0, failed: 3, runMs: 0 }, ejected: true },
+    { name: 'two failures', ends: { done: 0, failed: 2, runMs: 0 }, ejected: false },
+    { name: 'few failures among many successes', ends: { done: 20, failed: 3, runMs: 2000 }, ejected: false },
+    { name: 'mostly failures', ends: { done: 1, failed: 5, runMs: 100 }, ejected: true },
+    { name: 'successes only', ends: { done: 20, failed: 0, runMs: 2000 }, ejected: false }
+  ])('an endpoint for which other entries count $name is ejected: $ejected', ({ ends, ejected }) => {
     const { health } = setUp(4)
-    health.recordEnds('e0', heard)
-    expect(health.stateOf('e0') === HEALTH_STATES.setAside).toBe(aside)
+    health.recordEnds('e0', ends)
+    expect(health.stateOf('e0') === HEALTH_STATES.setAside).toBe(ejected)
   })
 
-  test('an endpoint that other entries find slow counts as slow', () => {
+  test('an endpoint at which tasks of other entries run long is counted as slow', () => {
     const { health } = setUp(2)
     for (let n = 0; n < 40; n++) {
       health.succeeded('e1', 100)
@@ -55,7 +55,7 @@
     expect(health.slownessOf('e0')).toBeGreaterThan(health.slownessOf('e1') * 2)
   })
 
-  test('tries one set aside again after its time, one start at a time', () => {
+  test('an ejected endpoint is probed after the ejection, with one start at a time, and restored by a success', () => {
     const { clock, health } = setUp(4)
     fail(health, 'e0', 5)
     expect(health.maySend('e0')).toBe(false)
@@ -72,7 +72,7 @@
     expect(health.stateOf('e0')).toBe(HEALTH_STATES.healthy)
   })
 
-  test('a probe that came to nothing may be repeated', () => {
+  test('a probe whose result says nothing about the endpoint may be repeated', () => {
     const { clock, health } = setUp(4)
     fail(health, 'e0', 5)
     clock.now = BACKOFF_MS
--- a/packages/coordination/src/health/endpointHealth.ts
+++ b/packages/coordination/src/health/endpointHealth.ts
@@ -3,42 +3,48 @@
 import { HEALTH_STATES } from '@hazellift/protocol'
 import type { HealthState } from '@hazellift/protocol'
 
-/** Bounds for setting endpoints aside. */
+/** Options of an `EndpointHealth`. */
 export interface EndpointHealthOptions {
+  /** Monotonic time in ms. */
   now: () => number
-  /** Largest share of a service's endpoints that may be set aside. */
+  /** Largest share of a service's endpoints that may be out of regular use (ejected or probed) at the same time. */
   maxEjectedShare: number
-  /** Time aside, by the number of times in a row. */
+  /** Duration of an ejection in ms, by the number of ejections in a row. */
   ejectionBackoff: (ejections: number) => number
-  /** Decides in place of the product's rule, for measurements. */
+  /** Replaces the product's rule in measurements. */
   eject?: SetAside
 }
 
-/** How some starts at one endpoint ended. */
+/** Counts of starts at one endpoint, by how they ended. */
 export interface EndCounts {
   done: number
   failed: number
-  /** Run time of those done, all together, in ms. */
+  /** Total run time of the starts that were done, in ms. */
   runMs: number
 }
 
 interface EndpointRecord {
-  /** Moving share of failed starts. */
+  /** Moving average of the share of failed starts, from 0 to 1. */
   failureShare: number
+  /** Number of starts that ended since the record began. */
   samples: number
-  /** Run time against the service's mean; 1 is usual. */
+  /** Moving average of the ratio of run times here to the mean of the service; 1 is the mean. */
   slowness: number
   state: HealthState
+  /** End of the ejection, in ms of `now`. */
   ejectedUntil: number
+  /** Number of ejections in a row. */
   ejections: number
-  /** Starts in flight since it is being probed. */
+  /** Number of starts in flight that were sent while the endpoint is probed. */
   probes: number
 }
 
+/** Weight of the latest sample in the moving average of failures. */
 const FAILURE_WEIGHT = 0.2
+/** Weight of the latest sample in the moving averages of run times. */
 const SLOWNESS_WEIGHT = 0.05
 
-/** A moving average after `count` samples of the same value. */
+/** Updates a moving average with `count` samples of the same value. */
 const blend = (average: number, value: number, weight: number, count: number): number =>
   value + (average - value) * (1 - weight) ** count
 
@@ -56,8 +62,10 @@
 })
 
 /**
- * Sets endpoints of one service aside that fail far beyond their peers, and
- * tries them again one start at a time.
+ * Ejects endpoints of one service that fail far more often than their peers.
+ * After its ejection an endpoint is probed with one start at a time: a success
+ * restores it with an empty record of failures, a failure ejects it again unless
+ * too many endpoints are out of use.
  */
 export class EndpointHealth {
   private readonly records = new Map<string, EndpointRecord>()
@@ -65,32 +73,32 @@
 
   constructor (private readonly options: EndpointHealthOptions) {}
 
-  /** An endpoint joined, with a clean record. */
+  /** Adds an endpoint with an empty record. */
   add (id: string): void {
     this.records.set(id, newRecord())
   }
 
-  /** An endpoint left. */
+  /** Removes an endpoint that left the service. */
   remove (id: string): void {
     this.records.delete(id)
   }
 
-  /** Mean run time of the service's tasks in ms, 0 while unknown. */
+  /** Mean run time of the service's tasks in ms; 0 while unknown. */
   get meanMs (): number {
     return this.meanRunMs
   }
 
-  /** Run time at this endpoint against the service's mean. */
+  /** Ratio of the run times at an endpoint to the mean of the service; 1 for an unknown endpoint. */
   slownessOf (id: string): number {
     return this.records.get(id)?.slowness ?? 1
   }
 
-  /** How the endpoint counts now. */
+  /** State of an endpoint; healthy if it is unknown. */
   stateOf (id: string): HealthState {
     return this.records.get(id)?.state ?? HEALTH_STATES.healthy
   }
 
-  /** True if a start may be sent there. */
+  /** True if a start may be sent to the endpoint now. Begins probing once the ejection has ended. */
   maySend (id: string): boolean {
     const record = this.records.get(id)
     if (record === undefined || record.state === HEALTH_STATES.healthy) return true
@@ -101,29 +109,29 @@
     return record.state === HEALTH_STATES.probing && record.probes === 0
   }
 
-  /** A start was sent. */
+  /** Records that a start was sent to the endpoint. */
   sent (id: string): void {
     const record = this.records.get(id)
     if (record?.state === HEALTH_STATES.probing) record.probes++
   }
 
-  /** A start came to nothing that tells about the endpoint. */
+  /** Records that a start ended with a result that says nothing about the endpoint; a probe may then be repeated. */
   inconclusive (id: string): void {
     const record = this.records.get(id)
     if (record !== undefined && record.probes > 0) record.probes--
   }
 
-  /** A task was answered. */
+  /** Records that a task was done by the endpoint, after `runMs`. */
   succeeded (id: string, runMs: number): void {
     this.recordEnds(id, { done: 1, failed: 0, runMs })
   }
 
-  /** An attempt failed, or could not begin, at this endpoint. */
+  /** Records that an attempt failed, or could not begin, at the endpoint. */
   failed (id: string): void {
     this.recordEnds(id, { done: 0, failed: 1, runMs: 0 })
   }
 
-  /** Starts ended at this endpoint, in whatever order. */
+  /** Records how several starts at the endpoint ended; their order is not known. */
   recordEnds (id: string, { done, failed, runMs }: EndCounts): void {
     const record = this.records.get(id)
     if (done > 0) this.observeSpeed(record, done, runMs / done)
--- a/packages/coordination/src/queue/fairQueue.ts
+++ b/packages/coordination/src/queue/fairQueue.ts
@@ -1,53 +1,56 @@
 import type { Job } from '../jobs/job.js'
 
-/** Compares two jobs of a workspace; negative if the first goes first. */
+/** Compares two jobs of equal priority in a workspace; negative if the first one goes first. */
 export type JobOrder = (a: Job, b: Job) => number
 
-/** How much later a job may come, for each task that it is smaller, and still go first, in ms. */
+/** For each task that a job is smaller than another, it may arrive this much later and still go first, in ms. */
 const HEAD_START_MS_PER_TASK = 100
 
 const agedSize = ({ arrivedAt, queue }: Job): number => arrivedAt + queue.length * HEAD_START_MS_PER_TASK
 
-/** Orders of jobs with equal priority. */
+/** Available orders of jobs with equal priority. */
 export const JOB_ORDERS = {
+  /** First come, first served. */
   arrival: (a: Job, b: Job) => a.arrivedAt - b.arrivedAt,
-  /** Few waiting tasks first, but no job is passed over for ever. */
+  /** Jobs with few queued tasks go first; the arrival time counts too, so that large jobs do not starve. */
   least_remaining: (a: Job, b: Job) => agedSize(a) - agedSize(b)
 } as const satisfies Record<string, JobOrder>
 
 interface WorkspaceQueue {
-  /** Slot time used, divided by weight. */
+  /** Slot time that the workspace has used, divided by its weight, in ms. */
   virtualTime: number
   jobs: Job[]
 }
 
-/** What the queue asks of its surroundings. */
+/** Options of a `FairQueue`. */
 export interface FairQueueOptions {
   order: JobOrder
+  /** Weight of a workspace: its share of the slots relative to the other workspaces. */
   weightOf: (workspace: string) => number
-  /** False while the workspace is at its limit of running tasks. */
+  /** False while the workspace has reached its limit of running tasks. */
   mayRun: (workspace: string) => boolean
 }
 
 /**
- * Tasks of one service that wait at an entry. Between workspaces the one with
- * the least slot time used for its weight goes first; within a workspace the
- * job of the highest priority does.
+ * Queue of one service's tasks at an entry, with weighted fair sharing between
+ * workspaces: the next task is taken from the workspace that has used the least
+ * slot time relative to its weight, and there from the job with the highest
+ * priority.
  */
 export class FairQueue {
   private readonly workspaces = new Map<string, WorkspaceQueue>()
-  /** Virtual time of the last start; a workspace that was idle starts from here. */
+  /** Virtual time of the latest start. A workspace that was idle continues from here, so that idle time earns no lead. */
   private virtualTime = 0
   private queued = 0
 
   constructor (private readonly options: FairQueueOptions) {}
 
-  /** Tasks that wait. */
+  /** Number of queued tasks. */
   get size (): number {
     return this.queued
   }
 
-  /** Adds a job with everything in its queue. */
+  /** Adds a job with all tasks in its `queue`. */
   add (job: Job): void {
     const workspace = this.workspaceOf(job.workspace)
     if (workspace.jobs.length === 0) workspace.virtualTime = Math.max(workspace.virtualTime, this.virtualTime)
@@ -55,14 +58,14 @@
     this.queued += job.queue.length
   }
 
-  /** Puts a task of the job back, as its start is proved not to have happened. */
+  /** Queues a task again whose start did not happen or whose attempt failed; it becomes the job's next task. */
   requeue (job: Job, task: number): void {
     this.remove(job)
     job.queue.push(task)
     this.add(job)
   }
 
-  /** Drops what the job has queued here. */
+  /** Removes the queued tasks of the job. */
   remove (job: Job): void {
     const workspace = this.workspaces.get(job.workspace)
     const index = workspace?.jobs.indexOf(job) ?? -1
@@ -71,30 +74,34 @@
     this.queued -= job.queue.length
   }
 
-  /** Takes the task that goes next, if any may run. */
+  /** Removes and returns the next task; undefined if none may run. */
   take (): { job: Job, task: number } | undefined {
-    const found = this.nextWorkspace()
-    if (found === undefined) return undefined
-    const job = this.firstJob(found.jobs)
+    const workspace = this.nextWorkspace()
+    if (workspace === undefined) return undefined
+    const job = this.firstJob(workspace.jobs)
     const task = job.queue.pop()!
     this.queued--
-    if (job.queue.length === 0) found.jobs.splice(found.jobs.indexOf(job), 1)
-    this.virtualTime = Math.max(this.virtualTime, found.virtualTime)
+    if (job.queue.length === 0) workspace.jobs.splice(workspace.jobs.indexOf(job), 1)
+    this.virtualTime = Math.max(this.virtualTime, workspace.virtualTime)
     return { job, task }
   }
 
-  /** Slot time used, in ms; negative to correct an estimate charged before. */
+  /**
+   * Charges slot time to a workspace.
+   *
+   * @param ms - slot time in ms; negative if an earlier estimate was too high
+   */
   charge (workspace: string, ms: number): void {
     this.workspaceOf(workspace).virtualTime += ms / Math.max(this.options.weightOf(workspace), Number.MIN_VALUE)
   }
 
-  /** Tasks of one workspace that wait here. */
+  /** Number of queued tasks of a workspace. */
   queuedTasks (workspace: string): number {
     const jobs = this.workspaces.get(workspace)?.jobs ?? []
     return jobs.reduce((sum, { queue }) => sum + queue.length, 0)
   }
 
-  /** Tasks that wait and that no limit of their workspace holds back. */
+  /** Number of queued tasks whose workspace has not reached its limit of running tasks. */
   get runnable (): number {
     let count = 0
     for (const [name, { jobs }] of this.workspaces) {
--- a/packages/coordination/src/slots/slotGranter.ts
+++ b/packages/coordination/src/slots/slotGranter.ts
@@ -1,46 +1,47 @@
-/** Credits that an agent hands to one entry. */
+/** Credits that an agent grants to one entry. */
 export interface CreditGrant {
   entry: string
   credits: number
 }
 
-interface EntryCredits {
+interface EntryShare {
+  /** Credits granted and not used yet. */
   granted: number
-  /** Starts accepted and not over, whether they run or wait here. */
+  /** Starts accepted and not ended, whether they run or wait for a slot. */
   busy: number
-  /** Credits wanted beyond those granted. */
+  /** Credits requested beyond those granted. */
   demand: number
 }
 
-/** By how many credits the entry that hears from the agent anyway may be ahead of the others. */
+/** Subtracted from the credits and busy slots of the entry that is sent a result now, when the least served entry is chosen. */
 const RECIPIENT_BONUS = 3
 
 /**
- * Divides an agent's slots between entries as credits, of two kinds. Standing
- * credits reserve nothing: each entry keeps a few, so that its next task needs
- * no message before it, and if all are used at once some tasks wait here for a
- * moment. Credits beyond those are granted for demand, against free slots, and
- * an entry gives them back as soon as it has no task for them.
+ * Divides an agent's slots between entries by granting credits; each start uses
+ * one. Standing credits reserve no slot: each entry keeps a few, so that it can
+ * send its next task without a request. If all of them are used at once, some
+ * tasks wait at the agent for a slot. Further credits are granted on demand,
+ * each for a free slot, and an entry returns them once it has no task for them.
  *
- * Invariant: starts accepted plus credits granted never exceed the slots by
- * more than the standing credits of all entries.
+ * Invariant: starts accepted and not ended, plus credits granted, exceed the
+ * slots by no more than the standing credits of all entries.
  */
 export class SlotGranter {
   private slots = 0
-  private readonly shares = new Map<string, EntryCredits>()
+  private readonly shares = new Map<string, EntryShare>()
 
   /**
    * @param standingCredits - credits that each entry keeps
    */
   constructor (private readonly standingCredits: number) {}
 
-  /** Slots that an entry may count on: not busy, and not reserved for another entry. */
+  /** Number of slots that an entry can use: those neither busy nor reserved for another entry. */
   freeSlotsFor (entry: string): number {
     const own = this.shares.get(entry)
     return Math.max(0, this.unreserved + (own === undefined ? 0 : this.reservedBy(own)))
   }
 
-  /** The endpoint's slots; 0 when it left. Credits given out before are void. */
+  /** Sets the number of the endpoint's slots; 0 once it has left. Cancels all credits granted before. */
   setSlots (slots: number): void {
     this.slots = slots
     for (const share of this.shares.values()) {
@@ -49,13 +50,13 @@
     }
   }
 
-  /** A session opened. Tasks that still run for the entry count on. */
+  /** Adds an entry that opened a session. Its tasks that still run from an earlier session stay counted. */
   addEntry (entry: string): void {
     const busy = this.shares.get(entry)?.busy ?? 0
     this.shares.set(entry, { granted: 0, busy, demand: 0 })
   }
 
-  /** A session ended: its unused credits are taken back at once. */
+  /** Removes an entry whose session ended: its unused credits are cancelled at once. */
   removeEntry (entry: string): void {
     const share = this.shares.get(entry)
     if (share === undefined) return
@@ -63,16 +64,16 @@
     else this.shares.set(entry, { granted: 0, busy: share.busy, demand: 0 })
   }
 
-  /** Credits that the entry wants beyond those it holds. */
+  /** Sets how many credits the entry requests beyond those that it has. */
   setDemand (entry: string, demand: number): void {
     const share = this.shares.get(entry)
     if (share !== undefined) share.demand = demand
   }
 
   /**
-   * A start arrived.
+   * Accepts a start against a credit of the entry.
    *
-   * @returns false if the entry held no credit
+   * @returns false if the entry had no credit
    */
   accept (entry: string): boolean {
     const share = this.shares.get(entry)
@@ -82,32 +83,33 @@
     return true
   }
 
-  /** A start without a credit is accepted all the same (baselines only). */
+  /** Accepts a start without a credit; used by the baselines of measurements only. */
   acceptOverflow (entry: string): void {
     const share = this.shares.get(entry)
     if (share !== undefined) share.busy++
   }
 
-  /** An accepted start is over. */
+  /** Frees the slot of an accepted start that has ended. */
   release (entry: string): void {
     const share = this.shares.get(entry)
     if (share !== undefined && share.busy > 0) share.busy--
   }
 
-  /** The entry gave credits back unused. */
+  /** Takes back unused credits that the entry returned. */
   returnCredits (entry: string, credits: number): void {
     const share = this.shares.get(entry)
     if (share !== undefined) share.granted = Math.max(0, share.granted - credits)
   }
 
   /**
-   * Renews standing credits and meets demand from free slots, least served
-   * first.
+   * Renews standing credits, and grants credits on demand for the free slots.
+   * The entry with the fewest credits and busy slots is served first.
    *
-   * @param mayRenew - true for entries that hear from this agent anyway: a
-   *   renewal costs no message of its own
-   * @param recipient - the entry that a result goes to now; between entries served
-   *   about alike it is preferred, as its credit travels with the result
+   * @param mayRenew - true for entries that this agent sends a frame in any
+   *   case, so that a renewal needs no message of its own
+   * @param recipient - entry that is sent a result now; it is preferred among
+   *   entries that are served about equally, as its credit is sent with the result
+   * @returns the credits to send, by entry
    */
   plan (mayRenew: (entry: string) => boolean, recipient?: string): CreditGrant[] {
     const grants = new Map<string, number>()
@@ -124,14 +126,14 @@
     return [...grants].map(([entry, credits]) => ({ entry, credits }))
   }
 
-  /** Slots that are neither busy nor reserved by credits beyond the standing ones. */
+  /** Number of slots that are neither busy nor reserved by credits beyond the standing ones. */
   private get unreserved (): number {
     let used = 0
     for (const share of this.shares.values()) used += share.busy + this.reservedBy(share)
     return this.slots - used
   }
 
-  private reservedBy ({ granted }: EntryCredits): number {
+  private reservedBy ({ granted }: EntryShare): number {
     return Math.max(0, granted - this.standingCredits)
   }
 
--- a/packages/coordination/tests/dispatch.test.ts
+++ b/packages/coordination/tests/dispatch.test.ts
@@ -7,34 +7,36 @@
 
 const DONE = { outcome: TASK_OUTCOMES.done, reason: '' as const, body: 'ok' }
 
-/** Lets promises of ended attempts run. */
+/** Waits until the callbacks of ended attempts have run. */
 const flush = () => new Promise<void>((resolve) => setImmediate(resolve))
 
+/** Keys of the starts of a job. */
 const startsOf = (network: FakeNetwork, job: Job): string[] =>
   network.starts.filter((key) => key.startsWith(`${job.key}/`))
 
+/** A job of the fake service that allows one retry. */
 const newJob = (id: string, tasks: number): Job => createJob({ ...JOB_BASE, id, payloads: Array<string>(tasks).fill('p'), retries: 1 })
 
-test('an endpoint that fails at one entry is set aside at the others, which have sent nothing there', async () => {
+test('an endpoint that fails for one entry is also ejected by another entry that has sent nothing to it', async () => {
   const network = new FakeNetwork(2, 3)
   const [first, second] = network.entries
-  const [bad] = network.agents
+  const [failing] = network.agents
   network.deliverAll()
-  for (let n = 0; bad!.running.length + network.starts.length < 40 && first!.failed.length < 3; n++) {
+  for (let n = 0; failing!.running.length + network.starts.length < 40 && first!.failed.length < 3; n++) {
     first!.dispatcher.add(newJob(`j${n}`, 1))
     network.deliverAll()
     for (const agent of network.agents) {
-      const end = agent === bad ? { outcome: TASK_OUTCOMES.failed, reason: 'endpoint_error' as const, body: '' } : DONE
+      const end = agent === failing ? { outcome: TASK_OUTCOMES.failed, reason: 'endpoint_error' as const, body: '' } : DONE
       for (const task of agent.running.splice(0)) task.end(end)
     }
     await flush()
     network.clock.advance(50)
     network.deliverAll()
   }
-  expect(second!.dispatcher.service('service')!.health.stateOf(bad!.id)).toBe('set_aside')
+  expect(second!.dispatcher.service('service')!.health.stateOf(failing!.id)).toBe('set_aside')
 })
 
-test('an agent has left only when every entry knows; a start under way meanwhile goes back to its entry', async () => {
+test('an agent has left only after every entry has acknowledged it; a start that arrives meanwhile is returned to its entry', async () => {
   const network = new FakeNetwork(2, 1)
   const [first, second] = network.entries
   const [agent] = network.agents
@@ -42,9 +44,9 @@
   second!.dispatcher.add(newJob('under-way', 1))
   network.runDeferred()
   agent!.host.leave()
-  const heard = network.latestSession(first!, agent!)!
-  while (heard.toEntry.length > 0) heard.deliverToEntry()
-  while (heard.toAgent.length > 0) heard.deliverToAgent()
+  const session = network.latestSession(first!, agent!)!
+  while (session.toEntry.length > 0) session.deliverToEntry()
+  while (session.toAgent.length > 0) session.deliverToAgent()
   expect(agent!.host.isLeft).toBe(false)
   network.deliverAll()
   await flush()
@@ -55,10 +57,10 @@
 })
 
 test.each([
-  { name: 'was kept', room: 10, complete: 1, failed: [] },
-  { name: 'was dropped for want of room: never complete with a part missing', room: 3, complete: 0, failed: ['task_failed'] }
-])('a job taken over whose first answer $name', async ({ room, complete, failed }) => {
-  const network = new FakeNetwork(2, 1, room)
+  { name: 'completes if the agent still has the first answer', maxAnswerSize: 10, complete: 1, failed: [] },
+  { name: 'fails if the agent had to drop the first answer for lack of memory', maxAnswerSize: 3, complete: 0, failed: ['task_failed'] }
+])('a job that was taken over $name', async ({ maxAnswerSize, complete, failed }) => {
+  const network = new FakeNetwork(2, 1, maxAnswerSize)
   const [first, second] = network.entries
   first!.dispatcher.add(newJob('j', 2))
   network.deliverAll()
@@ -72,11 +74,11 @@
   expect(second!.failed.map(({ reason }) => reason)).toEqual(failed)
 })
 
-describe('a lost session', () => {
+describe('an entry whose session with an agent was interrupted', () => {
   test.each([
-    { name: 'within the window: what the agent does not hold is sent elsewhere', silentMs: RESUME_WINDOW_MS - 500, failed: 0 },
-    { name: 'after the window: what the agent does not hold may have run', silentMs: MEMORY_MS + 1, failed: 1 }
-  ])('resumes $name', async ({ silentMs, failed }) => {
+    { name: 'sends a start again that the agent does not know, if the session resumes within the resume window', interruptionMs: RESUME_WINDOW_MS - 500, failed: 0 },
+    { name: 'fails the job of a start that the agent does not know, if the session resumes so late that the agent may have run and forgotten it', interruptionMs: MEMORY_MS + 1, failed: 1 }
+  ])('$name', async ({ interruptionMs, failed }) => {
     const network = new FakeNetwork(1, 1)
     const [entry] = network.entries
     const [agent] = network.agents
@@ -84,12 +86,12 @@
     const job = newJob('j', 1)
     entry!.dispatcher.add(job)
     network.runDeferred()
-    // The start is lost with its connection, which nobody notices for a while.
+    // The start is lost with its connection, and neither side notices until the session is opened again.
     const session = network.latestSession(entry!, agent!)!
     session.toAgent.length = 0
-    const before = network.clock.now()
-    // The entry itself was paused: its timers come late.
-    const advance = () => network.clock.advance(silentMs - (network.clock.now() - before))
+    const interruptedAt = network.clock.now()
+    // The entry was paused and its timers are late: it has neither closed the session nor declared the agent lost.
+    const advance = () => network.clock.advance(interruptionMs - (network.clock.now() - interruptedAt))
     advance()
     network.connect(entry!, agent!)
     network.deliverAll()
@@ -99,13 +101,13 @@
   })
 })
 
-describe('a task that failed, in a job whose policy allows two retries', () => {
+describe('a failed task of a job that allows two retries', () => {
   test.each([
     { reason: 'endpoint_error' as const, unrepeatable: false, starts: 3 },
     { reason: 'endpoint_reset' as const, unrepeatable: false, starts: 1 },
     { reason: 'lease_expired' as const, unrepeatable: false, starts: 1 },
     { reason: 'endpoint_error' as const, unrepeatable: true, starts: 1 }
-  ])('starts $starts time(s) after $reason (unrepeatable: $unrepeatable)', async ({ reason, unrepeatable, starts }) => {
+  ])('is started $starts time(s) in all if it fails with $reason (unrepeatable: $unrepeatable)', async ({ reason, unrepeatable, starts }) => {
     const network = new FakeNetwork(1, 1)
     network.deliverAll()
     network.entries[0]!.dispatcher.add(createJob({ ...JOB_BASE, id: 'j', payloads: ['p'], unrepeatable, retries: 2 }))
@@ -148,30 +150,31 @@
   { weight: 1, arbitrary: fc.record({ type: fc.constant('restart' as const), agent: agentIndex }) }
 )
 
-/** Jobs of one run with who owns them. */
+/** A network to which a sequence of actions is applied, and the jobs submitted to it. */
 class Simulation {
   readonly network: FakeNetwork
+  /** Jobs in the order of submission, with the index of the entry that owns each. */
   readonly jobs: { job: Job, entry: number }[] = []
-  /** Started tasks of a job at the moment that it was said not to have run. */
+  /** Jobs that were dropped while their entry would have reported that none of their tasks had run. */
   readonly reportedNotRun: Job[] = []
 
   constructor (agents = AGENTS) {
     this.network = new FakeNetwork(ENTRIES, agents)
   }
 
-  async apply (step: Action): Promise<void> {
+  async apply (action: Action): Promise<void> {
     const { network } = this
-    switch (step.type) {
-      case 'deliver': return this.deliver(step)
-      case 'deliverLate': return network.replaced[step.nth]?.deliverToAgent()
-      case 'cut': return network.latestSession(network.entries[step.entry]!, network.agents[step.agent]!)?.cut()
-      case 'connect': return network.connect(network.entries[step.entry]!, network.agents[step.agent]!)
-      case 'end': return this.end(step.agent, step.fail)
-      case 'advance': return this.advance(step.ms)
-      case 'submit': return this.submit(step.entry, step.tasks)
-      case 'drop': return this.drop(step.nth)
-      case 'takeOver': return this.takeOver(step.nth)
-      case 'restart': return network.restartAgent(step.agent)
+    switch (action.type) {
+      case 'deliver': return this.deliver(action)
+      case 'deliverLate': return network.replaced[action.nth]?.deliverToAgent()
+      case 'cut': return network.latestSession(network.entries[action.entry]!, network.agents[action.agent]!)?.cut()
+      case 'connect': return network.connect(network.entries[action.entry]!, network.agents[action.agent]!)
+      case 'end': return this.end(action.agent, action.fail)
+      case 'advance': return this.advance(action.ms)
+      case 'submit': return this.submit(action.entry, action.tasks)
+      case 'drop': return this.drop(action.nth)
+      case 'takeOver': return this.takeOver(action.nth)
+      case 'restart': return network.restartAgent(action.agent)
     }
   }
 
@@ -213,7 +216,7 @@
     this.network.runDeferred()
   }
 
-  /** The other entry takes a job for lost, rightly or not. */
+  /** The other entry takes a job over, whether or not the owner is lost. */
   private takeOver (nth: number): void {
     const found = this.jobs[nth]
     if (found === undefined || found.job.collecting !== undefined) return
@@ -224,7 +227,11 @@
   }
 }
 
-/** Delivers all frames and ends all tasks until nothing moves; gives the keys of complete jobs. */
+/**
+ * Delivers all frames and ends all tasks, in enough rounds for every job to complete.
+ *
+ * @returns the keys of all complete jobs, sorted
+ */
 const completeAllJobs = async ({ network }: Simulation): Promise<string[]> => {
   for (let round = 0; round < 150; round++) {
     network.deliverAll()
@@ -234,58 +241,58 @@
   return network.entries.flatMap(({ complete }) => complete.map(({ key }) => key)).sort()
 }
 
-describe('any order of frames, cuts, pauses, restarts and takeovers', () => {
-  test('starts no task twice, completes whole jobs only, and "not run" stays true', async () => {
-    await fc.assert(fc.asyncProperty(fc.array(action, { minLength: 20, maxLength: 150 }), async (steps) => {
-      const run = new Simulation()
-      run.network.deliverAll()
-      for (const each of steps) await run.apply(each)
-      run.network.deliverAll()
+describe('with frames, session cuts, pauses, restarts and takeovers in any order', () => {
+  test('no task is started twice, no job completes with a task missing, and no task of a job that was reported as not run has started', async () => {
+    await fc.assert(fc.asyncProperty(fc.array(action, { minLength: 20, maxLength: 150 }), async (actions) => {
+      const simulation = new Simulation()
+      simulation.network.deliverAll()
+      for (const each of actions) await simulation.apply(each)
+      simulation.network.deliverAll()
       await flush()
-      expect(run.network.duplicateStarts).toEqual([])
-      expect(run.network.violations).toEqual([])
-      for (const job of run.reportedNotRun) expect(startsOf(run.network, job)).toEqual([])
-      for (const { complete } of run.network.entries) {
+      expect(simulation.network.duplicateStarts).toEqual([])
+      expect(simulation.network.violations).toEqual([])
+      for (const job of simulation.reportedNotRun) expect(startsOf(simulation.network, job)).toEqual([])
+      for (const { complete } of simulation.network.entries) {
         for (const job of complete) {
           expect(job.tasks.every(({ result }) => result === 'ok')).toBe(true)
-          expect(new Set(startsOf(run.network, job).map((key) => key.split('#')[0])).size).toBe(job.tasks.length)
+          expect(new Set(startsOf(simulation.network, job).map((key) => key.split('#')[0])).size).toBe(job.tasks.length)
         }
       }
     }), { seed: 20261202, numRuns: 1500 })
   })
 
-  test('without faults, every job completes whatever the order of frames', async () => {
+  test('without faults, every job completes in any order of frames', async () => {
     const faultless = action.filter(({ type }) => ['deliver', 'end', 'submit'].includes(type))
-    await fc.assert(fc.asyncProperty(fc.array(faultless, { maxLength: 100 }), async (steps) => {
-      const run = new Simulation()
-      run.network.deliverAll()
-      for (const each of steps) await run.apply(each.type === 'end' ? { ...each, fail: false } : each)
-      expect(await completeAllJobs(run)).toEqual(run.jobs.map(({ job }) => job.key).sort())
+    await fc.assert(fc.asyncProperty(fc.array(faultless, { maxLength: 100 }), async (actions) => {
+      const simulation = new Simulation()
+      simulation.network.deliverAll()
+      for (const each of actions) await simulation.apply(each.type === 'end' ? { ...each, fail: false } : each)
+      expect(await completeAllJobs(simulation)).toEqual(simulation.jobs.map(({ job }) => job.key).sort())
     }), { seed: 20261202, numRuns: 300 })
   })
 
-  test('entries that need all slots in turn each get them, round after round', async () => {
-    const run = new Simulation(4)
-    run.network.deliverAll()
+  test('entries that alternately need all slots get them in every round', async () => {
+    const simulation = new Simulation(4)
+    simulation.network.deliverAll()
     for (let round = 0; round < 20; round++) {
-      await run.apply({ type: 'submit', entry: round % ENTRIES, tasks: round % ENTRIES === 0 ? 24 : 1 })
-      expect(await completeAllJobs(run)).toEqual(run.jobs.map(({ job }) => job.key).sort())
+      await simulation.apply({ type: 'submit', entry: round % ENTRIES, tasks: round % ENTRIES === 0 ? 24 : 1 })
+      expect(await completeAllJobs(simulation)).toEqual(simulation.jobs.map(({ job }) => job.key).sort())
     }
   })
 
-  test('once everything is healed, jobs that no fault has failed complete', async () => {
-    await fc.assert(fc.asyncProperty(fc.array(action.filter(({ type }) => !['drop', 'takeOver', 'restart', 'advance'].includes(type)), { maxLength: 80 }), async (steps) => {
-      const run = new Simulation()
-      run.network.deliverAll()
-      for (const each of steps) await run.apply(each.type === 'end' ? { ...each, fail: false } : each)
-      for (const entry of run.network.entries) for (const agent of run.network.agents) run.network.connect(entry, agent)
-      expect(await completeAllJobs(run)).toEqual(run.jobs.map(({ job }) => job.key).sort())
-      expect(run.network.duplicateStarts).toEqual([])
+  test('all jobs complete once every session is open again, if session cuts and late frames were the only faults', async () => {
+    await fc.assert(fc.asyncProperty(fc.array(action.filter(({ type }) => !['drop', 'takeOver', 'restart', 'advance'].includes(type)), { maxLength: 80 }), async (actions) => {
+      const simulation = new Simulation()
+      simulation.network.deliverAll()
+      for (const each of actions) await simulation.apply(each.type === 'end' ? { ...each, fail: false } : each)
+      for (const entry of simulation.network.entries) for (const agent of simulation.network.agents) simulation.network.connect(entry, agent)
+      expect(await completeAllJobs(simulation)).toEqual(simulation.jobs.map(({ job }) => job.key).sort())
+      expect(simulation.network.duplicateStarts).toEqual([])
     }), { seed: 20261202, numRuns: 200 })
   })
 })
 
-test('task keys name workspace, submission and task', () => {
+test('a task key consists of workspace, submission and task, and of the attempt if it is not the first one', () => {
   expect(taskKey({ workspace: 'w', submission: 's', task: 3, attempt: 0 } as never)).toBe('w/s/3')
   expect(taskKey({ workspace: 'w', submission: 's', task: 3, attempt: 2 } as never)).toBe('w/s/3#2')
 })
--- a/packages/coordination/tests/example.test.ts
+++ b/packages/coordination/tests/example.test.ts
@@ -3,7 +3,7 @@
 
 const EXAMPLE = '../examples/shareSlots.js'
 
-test('the example of the README runs and prints what it says', async () => {
+test('the example in the README runs and prints the values in its comments', async () => {
   const source = readFileSync(new URL(EXAMPLE, import.meta.url), 'utf8')
   expect(readFileSync(new URL('../README.md', import.meta.url), 'utf8')).toContain(source)
   const log = vi.spyOn(console, 'log').mockImplementation(() => {})
--- a/packages/coordination/tests/fakeNetwork.ts
+++ b/packages/coordination/tests/fakeNetwork.ts
@@ -5,19 +5,22 @@
 import type { AgentFrame, EntryFrame, Reason } from '@hazellift/protocol'
 import { createFakeClock } from './fakeClock.js'
 
-/** A task that a fake endpoint runs until the test ends it. */
+/** A task that the fake endpoint runs until the test ends it. */
 interface RunningTask {
   key: string
   end: (end: AttemptEnd) => void
 }
 
-/** Frames under way between one agent and one entry. */
+/** A session between one agent and one entry, with the frames in transit. */
 interface FakeSession {
   toEntry: AgentFrame[]
   toAgent: EntryFrame[]
   open: boolean
+  /** Delivers the oldest frame to the entry, if there is one. */
   deliverToEntry: () => void
+  /** Delivers the oldest frame to the agent, if there is one. */
   deliverToAgent: () => void
+  /** Ends the session on both sides. */
   cut: () => void
 }
 
@@ -36,26 +39,31 @@
   incarnation: number
   host: TaskHost
   running: RunningTask[]
-  /** Jobs that an entry has taken over here. */
+  /** Keys of jobs whose takeover has reached this agent. */
   collected: Set<string>
 }
 
 const SERVICE = 'service'
 const SLOTS = 2
+/** Resume window of the entries. */
 export const RESUME_WINDOW_MS = 2000
+/** Oldest timestamp with which agents accept a start. */
 export const START_AGE_MS = 1500
+/** How long agents remember ended tasks. */
 export const MEMORY_MS = 60_000
 
-/** Entries and agents with in-order links that a test delivers, delays and cuts. */
+/** Entries and agents with ordered links whose frames a test delivers or delays, and whose sessions it cuts. */
 export class FakeNetwork {
   readonly clock = createFakeClock()
+  /** Task keys of all starts at endpoints. */
   readonly starts: string[] = []
-  /** Starts that an agent should have refused. */
+  /** Descriptions of starts that an agent should have refused. */
   readonly violations: string[] = []
   readonly agents: FakeAgent[]
   readonly entries: FakeEntry[]
+  /** The latest session of each pair of entry and agent. */
   readonly sessions = new Map<string, FakeSession>()
-  /** Sessions that were replaced; frames of theirs may still arrive at the agent. */
+  /** Sessions that were replaced; their frames may still arrive at the agent. */
   readonly replaced: FakeSession[] = []
   private readonly deferred: (() => void)[] = []
 
@@ -65,12 +73,12 @@
     for (const entry of this.entries) for (const agent of this.agents) this.connect(entry, agent)
   }
 
-  /** Keys that were started more than once. */
+  /** Task keys that were started more than once. */
   get duplicateStarts (): string[] {
     return this.starts.filter((key, index) => this.starts.indexOf(key) !== index)
   }
 
-  /** Opens a session; an earlier one of the pair is cut first, as a dialer does. */
+  /** Opens a session; an earlier session of the pair is cut first, as the dialer does. */
   connect (entry: FakeEntry, agent: FakeAgent): void {
     const previous = this.latestSession(entry, agent)
     previous?.cut()
@@ -79,19 +87,19 @@
     this.sessions.set(sessionKey(entry, agent), session)
   }
 
-  /** The latest session of a pair. */
+  /** The latest session of a pair, open or cut. */
   latestSession (entry: FakeEntry, agent: FakeAgent): FakeSession | undefined {
     return this.sessions.get(sessionKey(entry, agent))
   }
 
-  /** Replaces an agent's process by one that remembers nothing. */
+  /** Replaces an agent's process by a new one without any memory of starts. */
   restartAgent (index: number): void {
     const previous = this.agents[index]!
     for (const entry of this.entries) this.latestSession(entry, previous)?.cut()
     this.agents[index] = this.createAgent(index, previous.incarnation + 1)
   }
 
-  /** Delivers everything, again and again, until nothing is under way. */
+  /** Delivers all frames and the frames that follow from them, for 50 rounds. */
   deliverAll (): void {
     for (let round = 0; round < 50; round++) {
       for (const session of this.sessions.values()) {
@@ -102,7 +110,7 @@
     }
   }
 
-  /** Runs what the dispatchers put off to the end of an event. */
+  /** Runs the functions that the dispatchers have deferred. */
   runDeferred (): void {
     for (let fn = this.deferred.shift(); fn !== undefined; fn = this.deferred.shift()) fn()
   }
@@ -159,7 +167,7 @@
         }
         this.starts.push(key)
         if (collected.has(key.slice(0, key.lastIndexOf('/')))) this.violations.push(`${key} started after its job was taken over`)
-        if (this.clock.now() - start.stampMs > START_AGE_MS) this.violations.push(`${key} started with an old stamp`)
+        if (this.clock.now() - start.stampMs > START_AGE_MS) this.violations.push(`${key} started with a timestamp that was too old`)
         running.push({ key, end: resolve })
         signal.addEventListener('abort', () => resolve({ outcome: TASK_OUTCOMES.failed, reason: 'endpoint_reset', body: '' }))
       })
@@ -218,7 +226,7 @@
 
 const sessionKey = (entry: FakeEntry, agent: FakeAgent): string => `${entry.incarnation} ${agent.id}`
 
-/** A job of the fake service. */
+/** Options that the jobs of the fake service have in common. */
 export const JOB_BASE = {
   workspace: 'w', service: SERVICE, unrepeatable: false, priority: 0, retries: 0, leaseMs: 1_000_000, arrivedAt: 0, deadlineAt: 1_000_000
 }
