--- a/packages/coordination/src/health/endpointHealth.ts
+++ b/packages/coordination/src/health/endpointHealth.ts
@@ -1,5 +1,5 @@
-import { setAside } from '@hazellift/decisions'
-import type { EndpointRecordView, SetAside } from '@hazellift/decisions'
+import { eject } from '@hazellift/decisions'
+import type { EndpointRecordView, Eject } from '@hazellift/decisions'
 import { HEALTH_STATES } from '@hazellift/protocol'
 import type { HealthState } from '@hazellift/protocol'
 
@@ -12,7 +12,7 @@
   /** Duration of an ejection in ms, by the number of ejections in a row. */
   ejectionBackoff: (ejections: number) => number
   /** Replaces the product's rule in measurements. */
-  eject?: SetAside
+  eject?: Eject
 }
 
 /** Counts of starts at one endpoint, by how they ended. */
@@ -157,7 +157,7 @@
 
   private isOutlier (record: EndpointRecord): boolean {
     const peers = [...this.records.values()].filter((peer) => peer !== record)
-    const decide = this.options.eject ?? setAside
+    const decide = this.options.eject ?? eject
     return decide(viewOf(record), peers.map(viewOf))
   }
 
