--- a/packages/coordination/tests/dispatch.test.ts
+++ b/packages/coordination/tests/dispatch.test.ts
@@ -47,10 +47,10 @@
   const session = network.latestSession(first!, agent!)!
   while (session.toEntry.length > 0) session.deliverToEntry()
   while (session.toAgent.length > 0) session.deliverToAgent()
-  expect(agent!.host.isLeft).toBe(false)
+  expect(agent!.host.isLeavingKnown).toBe(false)
   network.deliverAll()
   await flush()
-  expect(agent!.host.isLeft).toBe(true)
+  expect(agent!.host.isLeavingKnown).toBe(true)
   expect(network.starts).toEqual([])
   expect(second!.failed).toEqual([])
   expect(second!.dispatcher.queuedTotal).toBe(1)
