--- a/packages/coordination/src/leased/configExchange.test.ts
+++ b/packages/coordination/src/leased/configExchange.test.ts
@@ -70,7 +70,7 @@
   /** What is asked for leaves. */
   flush (isLinkStill = false): void {
     for (const [index, frame] of this.pending) {
-      this.sessions.stamp(this.agents[index]!, frame)
+      this.sessions.fillFrame(this.agents[index]!, frame)
       this.sent.push({ at: this.clock.now(), bytes: toBinary(EntryFrameSchema, frame).length, frame })
       if (frame.config.length > 0 && !isLinkStill) this.held[index] = frame.configVersion
     }
--- a/packages/coordination/src/leased/leasedHost.ts
+++ b/packages/coordination/src/leased/leasedHost.ts
@@ -160,7 +160,7 @@
     this.sessions.onConfig(session, frame)
   }
 
-  stamp (incarnation: string, frame: AgentFrame): void {
+  fillFrame (incarnation: string, frame: AgentFrame): void {
     this.authorities.look()
     frame.stampMs = this.options.clock.now()
     this.sessions.stamp(incarnation, frame)
--- a/packages/coordination/src/tasks/taskHost.ts
+++ b/packages/coordination/src/tasks/taskHost.ts
@@ -135,7 +135,7 @@
   }
 
   /** Fills in what every frame carries. */
-  stamp (incarnation: string, frame: AgentFrame): void {
+  fillFrame (incarnation: string, frame: AgentFrame): void {
     frame.stampMs = this.options.clock.now()
     frame.free = this.granter.freeFor(incarnation)
     const ends = this.sessions.takeEndsElsewhere(incarnation)
--- a/packages/coordination/tests/fakeNetwork.ts
+++ b/packages/coordination/tests/fakeNetwork.ts
@@ -175,7 +175,7 @@
     const send = (add: (frame: AgentFrame) => void): void => {
       const frame = create(AgentFrameSchema)
       add(frame)
-      host.stamp(entry.incarnation, frame)
+      host.fillFrame(entry.incarnation, frame)
       if (session.open) session.toEntry.push(frame)
     }
     const link: AgentLink = {
--- a/packages/coordination/tests/leased/doubt.test.ts
+++ b/packages/coordination/tests/leased/doubt.test.ts
@@ -179,7 +179,7 @@
   /** What a frame that leaves now echoes. */
   get echo (): number {
     const frame: EntryFrame = create(EntryFrameSchema)
-    this.sessions.stamp(this.agent, frame)
+    this.sessions.fillFrame(this.agent, frame)
     return frame.echoStampMs
   }
 
--- a/packages/coordination/tests/leased/leasedNetwork.ts
+++ b/packages/coordination/tests/leased/leasedNetwork.ts
@@ -254,7 +254,7 @@
       if (!isOpen.agent) return
       const frame = create(AgentFrameSchema)
       change(frame)
-      agent.host.stamp(entry.incarnation, frame)
+      agent.host.fillFrame(entry.incarnation, frame)
       deliver(entry.process, () => {
         if (!isOpen.entry || !entry.isUp) return
         lastSeen.entry = entryNow()
@@ -268,7 +268,7 @@
       frame.ackedSeq = acked
       sentToAgentAt = entryNow()
       this.entryFrames++
-      entry.dispatcher.sessions.stamp(handle, frame)
+      entry.dispatcher.sessions.fillFrame(handle, frame)
       deliver(agent.process, () => {
         if (!isOpen.agent || !agent.isUp) return
         lastSeen.agent = agentNow()
