--- a/packages/coordination/src/config/configStore.ts
+++ b/packages/coordination/src/config/configStore.ts
@@ -8,7 +8,7 @@
 import { CONFIG_PREFIXES, CONFIG_ROWS, configKey, historyKey } from './configRows.js'
 import type { CONFIG_KINDS, ConfigKind } from './configRows.js'
 
-/** A change that an operator or the administrator asks for. */
+/** A change that an operator or the administrator requests; `seenVersion` is the record version it was made from. */
 export type ConfigEdit =
   | { kind: typeof CONFIG_KINDS.workspace, name: string, seenVersion: bigint, operationId: string, record: WorkspaceRecord }
   | { kind: typeof CONFIG_KINDS.policy, name: string, seenVersion: bigint, operationId: string, record: PolicyRecord }
@@ -16,24 +16,32 @@
 
 /** Why a change was not accepted. */
 export type ConfigFault =
-  /** A rival's change came first; nothing of this one took effect. */
+  /** Another change of the record came first; this one had no effect. */
   | { type: 'conflict', seenVersion: bigint, currentVersion: bigint }
-  /** The table did not answer in time; the same operation id may be sent again. */
+  /** The table did not answer in time, so the change may have been accepted; it can be repeated safely with the same operation id. */
   | { type: 'unavailable', message: string }
 
-/** What the store needs. */
+/** Dependencies of the store. */
 export interface ConfigStoreOptions {
   table: TableService
   clock: Clock
+  /** Delay before the next attempt, in ms. */
   backoff: (failures: number) => number
+  /** Total time for one change, in ms. */
   timeoutMs: number
 }
 
+/** The head and the record of an edit, as read; versions of what is missing are 0. */
 interface CurrentRows {
+  /** Highest accepted configuration version. */
   head: bigint
-  headRow: bigint
+  /** Row version of the head. */
+  headRowVersion: bigint
+  /** Configuration version of the record. */
   version: bigint
-  row: bigint
+  /** Row version of the record. */
+  rowVersion: bigint
+  /** Operation that wrote the record last. */
   operationId: string
 }
 
@@ -47,19 +55,21 @@
 }
 
 /**
- * Accepts changes of the configuration.
+ * Writes changes of the configuration to the store table, and reads them.
  *
- * Invariant: a change and the advance of the head are one transaction, each on
- * the version that was read; so versions of accepted changes are unique, grow
- * by one, and none is ever lost or replaced by an older one.
+ * Invariant: one transaction writes a change and advances the head, and requires
+ * of each row the version that was read. So the versions of accepted changes are
+ * unique and consecutive, and no change is lost or replaced by an older one.
  */
 export class ConfigStore {
   constructor (private readonly options: ConfigStoreOptions) {}
 
   /**
-   * Writes a change if nobody changed the record since `seenVersion`.
+   * Writes a change if the record was not changed since `seenVersion`. Repeats
+   * attempts that failed, up to the timeout.
    *
-   * @returns the version at which the change was accepted
+   * @param edit - the change; its record gets the accepted version and the operation id
+   * @returns the version that the change was accepted with
    */
   async put (edit: ConfigEdit): Promise<Result<bigint, ConfigFault>> {
     const { clock, backoff, timeoutMs } = this.options
@@ -68,50 +78,50 @@
     let message = ''
     for (let failures = 1; clock.now() < deadline; failures++) {
       const attempt = await this.attempt(edit, inDoubt)
-      if (attempt.type === 'settled') return attempt.result
-      if (attempt.tried !== undefined) inDoubt = attempt.tried
+      if (attempt.type === 'done') return attempt.result
+      if (attempt.triedVersion !== undefined) inDoubt = attempt.triedVersion
       message = attempt.message
       await clock.sleep(backoff(failures))
     }
     return fail({ type: 'unavailable', message })
   }
 
-  /** Accepted changes after a version, oldest first. */
+  /** Accepted changes after a version, oldest first, at most `limit` of them. */
   async changesAfter (version: bigint, limit: number): Promise<Result<ConfigChange[], StoreFault>> {
     const res = await this.options.table.scan(CONFIG_ROWS.historyPrefix, historyKey(version), limit)
     return res.ok ? ok(res.value.map(({ value }) => fromBinary(ConfigChangeSchema, value))) : res
   }
 
-  /** The highest version accepted. */
+  /** The highest accepted version; 0 if there is none. */
   async headVersion (): Promise<Result<bigint, StoreFault>> {
     const res = await this.options.table.read([CONFIG_ROWS.head])
     return res.ok ? ok(decodeHead(res.value[0])) : res
   }
 
-  /** All records of a kind. */
+  /** Rows of all records of a kind. */
   async records (kind: ConfigKind): Promise<Result<TableRow[], StoreFault>> {
     return this.scanAll(CONFIG_PREFIXES[kind])
   }
 
   private async attempt (edit: ConfigEdit, inDoubt: bigint | undefined): Promise<
-    { type: 'settled', result: Result<bigint, ConfigFault> } | { type: 'again', message: string, tried?: bigint }
+    { type: 'done', result: Result<bigint, ConfigFault> } | { type: 'retry', message: string, triedVersion?: bigint }
   > {
     const current = await this.readCurrent(edit)
-    if (!current.ok) return { type: 'again', message: current.err.message }
+    if (!current.ok) return { type: 'retry', message: current.err.message }
     const { head, version, operationId } = current.value
-    if (operationId === edit.operationId) return { type: 'settled', result: ok(version) }
-    // An earlier sending may have been accepted and then been followed by a rival's change.
+    if (operationId === edit.operationId) return { type: 'done', result: ok(version) }
+    // An earlier attempt without an answer may have been accepted, and another change of the record may have followed it.
     const accepted = inDoubt === undefined ? ok(false) : await this.isAccepted(inDoubt, edit.operationId)
-    if (!accepted.ok) return { type: 'again', message: accepted.err.message }
-    if (accepted.value) return { type: 'settled', result: ok(inDoubt!) }
+    if (!accepted.ok) return { type: 'retry', message: accepted.err.message }
+    if (accepted.value) return { type: 'done', result: ok(inDoubt!) }
     if (version !== edit.seenVersion) {
-      return { type: 'settled', result: fail({ type: 'conflict', seenVersion: edit.seenVersion, currentVersion: version }) }
+      return { type: 'done', result: fail({ type: 'conflict', seenVersion: edit.seenVersion, currentVersion: version }) }
     }
     const next = head + 1n
     const res = await this.options.table.transact(this.writesFor(edit, current.value, next))
-    if (!res.ok) return { type: 'again', message: res.err.message, tried: next }
-    if (res.value.type === 'conflict') return { type: 'again', message: 'the configuration changed meanwhile' }
-    return { type: 'settled', result: ok(next) }
+    if (!res.ok) return { type: 'retry', message: res.err.message, triedVersion: next }
+    if (res.value.type === 'conflict') return { type: 'retry', message: 'another change of the configuration was committed first' }
+    return { type: 'done', result: ok(next) }
   }
 
   private async readCurrent ({ kind, name }: ConfigEdit): Promise<Result<CurrentRows, StoreFault>> {
@@ -123,9 +133,9 @@
     const record = row === undefined ? undefined : fromBinary(RECORD_SCHEMAS[kind], row.value)
     return ok({
       head: decodeHead(headRow),
-      headRow: headRow?.version ?? 0n,
+      headRowVersion: headRow?.version ?? 0n,
       version: record?.version ?? 0n,
-      row: row?.version ?? 0n,
+      rowVersion: row?.version ?? 0n,
       operationId: record?.operationId ?? ''
     })
   }
@@ -145,8 +155,8 @@
     })
     const value = toBinary(RECORD_SCHEMAS[kind], edit.record)
     return [
-      { key: CONFIG_ROWS.head, ifVersion: current.headRow, value: toBinary(ConfigHeadSchema, create(ConfigHeadSchema, { version })) },
-      { key: configKey(kind, name), ifVersion: current.row, value },
+      { key: CONFIG_ROWS.head, ifVersion: current.headRowVersion, value: toBinary(ConfigHeadSchema, create(ConfigHeadSchema, { version })) },
+      { key: configKey(kind, name), ifVersion: current.rowVersion, value },
       { key: historyKey(version), ifVersion: 0n, value: toBinary(ConfigChangeSchema, change) }
     ]
   }
--- a/packages/coordination/src/config/configWatch.ts
+++ b/packages/coordination/src/config/configWatch.ts
@@ -9,44 +9,48 @@
 import { CONFIG_KINDS } from './configRows.js'
 import type { ConfigStore } from './configStore.js'
 
-/** A workspace as it is in force here. */
+/** A workspace as this entry applies it. */
 export interface WorkspaceConfig {
   record: WorkspaceRecord
+  /** Unset if the workspace has none; the default policy applies then. */
   policy: PolicyRecord | undefined
-  /** Unset where the record's policy does not compile here. */
+  /** Unset if the policy does not compile at this entry. */
   compiled: CompiledPolicy | undefined
 }
 
-/** What the watch needs. */
+/** Dependencies of the watch. */
 export interface ConfigWatchOptions {
   store: Pick<ConfigStore, 'changesAfter' | 'headVersion' | 'records'>
   clock: Clock
+  /** Interval between reads, in ms. */
   pollMs: number
+  /** Called after records or the version in force changed. */
   onChange: () => void
+  /** Called with a policy that does not compile at this entry, and all its faults. */
   onBadPolicy: (workspace: string, faults: CompileFault[]) => void
 }
 
 const PAGE_SIZE = 200
 
 /**
- * The configuration in force at this entry.
+ * The configuration in force at this entry, kept current by polling the store.
  *
- * Invariant: the version in force only grows, and each record is replaced by
- * one of a higher version only.
+ * Invariant: the version in force only grows, and a record is only replaced by
+ * one with a higher version.
  */
 export class ConfigWatch {
   private readonly workspaces = new Map<string, WorkspaceRecord>()
   private readonly policies = new Map<string, { record: PolicyRecord, compiled: CompiledPolicy | undefined }>()
   private readonly zoneRecords = new Map<string, ZoneRecord>()
-  private inForce = 0n
+  private versionInForce = 0n
   private loaded = false
   private stopped = false
 
   constructor (private readonly options: ConfigWatchOptions) {}
 
-  /** The version in force. */
+  /** The version in force; 0 until the configuration was read. */
   get version (): bigint {
-    return this.inForce
+    return this.versionInForce
   }
 
   /** True once the whole configuration was read. */
@@ -54,12 +58,12 @@
     return this.loaded
   }
 
-  /** Names of all workspaces. */
+  /** Names of all workspaces that are not deleted, sorted. */
   get workspaceNames (): string[] {
     return [...this.workspaces.values()].filter(({ deleted }) => !deleted).map(({ name }) => name).sort()
   }
 
-  /** A workspace, unless it does not exist or was deleted. */
+  /** A workspace; undefined if it does not exist or was deleted. */
   find (name: string): WorkspaceConfig | undefined {
     const record = this.workspaces.get(name)
     if (record === undefined || record.deleted) return undefined
@@ -67,17 +71,17 @@
     return { record, policy: policy?.record, compiled: policy === undefined ? DEFAULT_POLICY : policy.compiled }
   }
 
-  /** Availability zones that an operator ever evacuated or restored. */
+  /** Records of all availability zones that an operator has ever evacuated or restored. */
   get zones (): ZoneRecord[] {
     return [...this.zoneRecords.values()]
   }
 
-  /** True while the endpoints of an availability zone must get no start. */
+  /** True while no task may be started at endpoints of an availability zone. */
   isEvacuated (zone: string): boolean {
     return this.zoneRecords.get(zone)?.evacuated === true
   }
 
-  /** Runs until `stop`; resolves then. */
+  /** Reads changes periodically; resolves after `stop`. */
   async run (): Promise<void> {
     while (!this.stopped) {
       await this.refresh()
@@ -85,28 +89,32 @@
     }
   }
 
-  /** Ends `run` after its current pass. */
+  /** Ends `run` after its current read. */
   stop (): void {
     this.stopped = true
   }
 
-  /** Reads what is new, now. */
+  /**
+   * Reads and applies new changes now.
+   *
+   * @returns the version in force, or why the store could not be read
+   */
   async refresh (): Promise<Result<bigint, StoreFault>> {
     if (!this.loaded) return this.load()
     const head = await this.options.store.headVersion()
     if (!head.ok) return head
-    while (this.inForce < head.value) {
-      const changes = await this.options.store.changesAfter(this.inForce, PAGE_SIZE)
+    while (this.versionInForce < head.value) {
+      const changes = await this.options.store.changesAfter(this.versionInForce, PAGE_SIZE)
       if (!changes.ok) return changes
       if (changes.value.length === 0) break
       for (const change of changes.value) this.applyChange(change)
       this.options.onChange()
     }
-    return ok(this.inForce)
+    return ok(this.versionInForce)
   }
 
   private async load (): Promise<Result<bigint, StoreFault>> {
-    // The head is read first: records read after it are at least as new.
+    // The head is read first: records that are read after it are at least as new, so no change after it is skipped.
     const head = await this.options.store.headVersion()
     if (!head.ok) return head
     const workspaces = await this.options.store.records(CONFIG_KINDS.workspace)
@@ -118,18 +126,18 @@
     for (const { value } of zones.value) this.applyZone(fromBinary(ZoneRecordSchema, value))
     for (const { value } of workspaces.value) this.applyWorkspace(fromBinary(WorkspaceRecordSchema, value))
     for (const { value } of policies.value) this.applyPolicy(fromBinary(PolicyRecordSchema, value))
-    this.inForce = head.value
+    this.versionInForce = head.value
     this.loaded = true
     this.options.onChange()
-    return ok(this.inForce)
+    return ok(this.versionInForce)
   }
 
   private applyChange (change: ConfigChange): void {
-    if (change.version <= this.inForce) return
+    if (change.version <= this.versionInForce) return
     if (change.workspace !== undefined) this.applyWorkspace(change.workspace)
     if (change.policy !== undefined) this.applyPolicy(change.policy)
     if (change.zone !== undefined) this.applyZone(change.zone)
-    this.inForce = change.version
+    this.versionInForce = change.version
   }
 
   private applyZone (record: ZoneRecord): void {
--- a/packages/coordination/src/entries/entryAnnouncement.ts
+++ b/packages/coordination/src/entries/entryAnnouncement.ts
@@ -2,23 +2,24 @@
 import type { EntryRecord } from '@hazellift/protocol'
 import type { EntryDirectory } from './entryDirectory.js'
 
-/** What the announcement needs. */
+/** Dependencies of the announcement. */
 export interface EntryAnnouncementOptions {
   clock: Clock
   directory: Pick<EntryDirectory, 'isRegistered' | 'refresh' | 'others' | 'ownRecord'>
-  /** Tells the entry at an address of this one; gives its incarnation if it answered. */
+  /** Introduces this entry to the one at an address; gives the incarnation of that one if it answered. */
   introduce: (address: string, self: EntryRecord) => Promise<string | undefined>
-  /** After this time in the table, entries that read it have seen this one's row; in ms. */
+  /** Time after which every entry that can read the table has read this entry's row, in ms. */
   visibleAfterMs: number
 }
 
-const PAUSE_MS = 100
+/** Interval between checks and between introductions, in ms. */
+const RETRY_INTERVAL_MS = 100
 
 /**
- * Makes a new entry known before it claims anything.
+ * Makes a new entry known to the others before it claims any submission.
  *
- * Invariant: an entry that claims is known to every other one, unless that one
- * has not read the entries' rows for `seenAfterMs`. `OutageLookup` rests on it.
+ * Invariant: every other entry knows an entry that claims, unless it has not read
+ * the entries' rows for `visibleAfterMs`. `OutageLookup` relies on this.
  */
 export class EntryAnnouncement {
   private done = false
@@ -31,34 +32,34 @@
     return this.done
   }
 
-  /** Ends `run`. */
+  /** Ends `run`; an entry that may not claim yet never may afterwards. */
   stop (): void {
     this.stopped = true
   }
 
   /** Resolves once this entry may claim submissions, or was stopped. */
   async run (): Promise<void> {
-    const { clock, directory, visibleAfterMs: seenAfterMs } = this.options
+    const { clock, directory, visibleAfterMs } = this.options
     await this.waitUntil(() => directory.isRegistered)
-    const enteredAt = clock.now()
-    // Of two entries that join at once, the one that reads after both rows stand sees the other.
+    const registeredAt = clock.now()
+    // Of two entries that join at the same time, the one that reads after both rows are written sees the other one.
     await this.waitUntil(() => directory.refresh())
-    const told = new Set<string>()
-    await this.waitUntil(async () => clock.now() - enteredAt >= seenAfterMs || await this.notifyOthers(told))
+    const notified = new Set<string>()
+    await this.waitUntil(async () => clock.now() - registeredAt >= visibleAfterMs || await this.notifyOthers(notified))
     this.done = !this.stopped
   }
 
-  private async waitUntil (isTrue: () => Promise<boolean> | boolean): Promise<void> {
-    while (!this.stopped && !await isTrue()) await this.options.clock.sleep(PAUSE_MS)
+  private async waitUntil (condition: () => Promise<boolean> | boolean): Promise<void> {
+    while (!this.stopped && !await condition()) await this.options.clock.sleep(RETRY_INTERVAL_MS)
   }
 
-  private async notifyOthers (told: Set<string>): Promise<boolean> {
+  private async notifyOthers (notified: Set<string>): Promise<boolean> {
     const { directory, introduce } = this.options
-    const untold = directory.others.filter(({ incarnation }) => !told.has(incarnation))
-    await Promise.all(untold.map(async ({ sessionAddress, incarnation }) => {
+    const unnotified = directory.others.filter(({ incarnation }) => !notified.has(incarnation))
+    await Promise.all(unnotified.map(async ({ sessionAddress, incarnation }) => {
       const answered = await introduce(sessionAddress, directory.ownRecord())
-      if (answered === incarnation) told.add(incarnation)
+      if (answered === incarnation) notified.add(incarnation)
     }))
-    return directory.others.every(({ incarnation }) => told.has(incarnation))
+    return directory.others.every(({ incarnation }) => notified.has(incarnation))
   }
 }
--- a/packages/coordination/src/entries/entryDirectory.test.ts
+++ b/packages/coordination/src/entries/entryDirectory.test.ts
@@ -5,7 +5,7 @@
 import { createFakeClock } from '../../tests/fakeClock.js'
 import { EntryDirectory } from './entryDirectory.js'
 
-/** One row with the conditions of a table; commits end when the test says so. */
+/** A table of one row that checks the version of each write. */
 const createRow = () => {
   let row: TableRow | undefined
   const commit = async ({ key, ifVersion, value }: TableWrite): Promise<CommitOutcome> => {
@@ -17,7 +17,7 @@
   return { commit, current: () => fromBinary(EntryRecordSchema, row!.value) }
 }
 
-test('a heartbeat under way does not keep a graceful stop from showing its end', async () => {
+test('a graceful stop writes the end into the row while a heartbeat is being written', async () => {
   const row = createRow()
   const directory = new EntryDirectory({
     table: { scan: async () => ({ ok: true, value: [] }) },
@@ -30,7 +30,7 @@
     configVersion: () => 0n,
     onChange: () => {}
   })
-  // The row that this write leaves is not known yet when the stop writes its own.
+  // The stop starts before the outcome of this write is known, so its first write conflicts with it.
   void directory.leave()
   await directory.stop()
   expect(row.current()).toMatchObject({ incarnation: 'a', ended: true })
--- a/packages/coordination/src/entries/entryDirectory.ts
+++ b/packages/coordination/src/entries/entryDirectory.ts
@@ -6,94 +6,100 @@
 import { ENTRY_PREFIX, EntryRoster } from './entryRoster.js'
 import type { KnownEntry } from './entryRoster.js'
 
-/** What the directory needs. */
+/** Dependencies and times of the directory. */
 export interface EntryDirectoryOptions {
   table: Pick<TableService, 'scan'>
   group: Pick<GroupCommit, 'commit'>
   clock: Clock
-  /** Who this entry is, with its addresses. */
+  /** Identity and addresses of this entry. */
   self: () => Pick<EntryRecord, 'entryId' | 'incarnation' | 'apiAddress' | 'sessionAddress'>
+  /** Interval between writes of the own row, and between reads of all rows, in ms. */
   heartbeatMs: number
+  /** Time after which an unchanged row is stale, in ms. */
   staleAfterMs: number
-  /** How long the rows of entries that ended or fell silent stay, in ms. */
+  /** How long the unchanged row of an entry that ended or stopped its heartbeats is kept, in ms. */
   rowRetentionMs: number
+  /** Version of the configuration in force; written into the own row. */
   configVersion: () => bigint
-  /** Called when the set of live entries changed. */
+  /** Called when the set of live entries, or whether one accepts work, changed. */
   onChange: () => void
 }
 
+/** Most rows of entries that one read returns. */
 const MAX_ENTRIES = 1000
+/** Heartbeat intervals until the write of a heartbeat times out. */
 const WRITE_TIMEOUT_HEARTBEATS = 2
 
-/** Keeps this entry's row fresh and watches the rows of the others. */
+/** Writes this entry's heartbeats into its row of the store table, and reads the rows of all other entries. */
 export class EntryDirectory {
   private readonly roster: EntryRoster
-  /** Unset while the table cannot be read. */
-  private lastScanAt: number | undefined
-  private readAt = -Infinity
+  /** When the last read ended; unset while the table cannot be read. */
+  private lastReadEndedAt: number | undefined
+  /** When the last successful read began. */
+  private lastReadStartedAt = -Infinity
   private ownVersion = 0n
   private heartbeatCount = 0n
   private leaving = false
   private stopped = false
-  private liveKey = ''
+  private lastLiveKey = ''
   private hasReplacedRow = false
 
   constructor (private readonly options: EntryDirectoryOptions) {
     this.roster = new EntryRoster({ ...options, now: options.clock.now })
   }
 
-  /** Entries whose rows change, this one included. */
+  /** Entries that are live by their heartbeats, this one included. */
   get live (): EntryRecord[] {
     return [...this.roster.live, this.ownRecord()]
   }
 
-  /** True once the own row stands and the others' were read. */
+  /** True once the own row was written and the rows of the others were read. */
   get isRegistered (): boolean {
-    return this.ownVersion > 0n && this.lastScanAt !== undefined
+    return this.ownVersion > 0n && this.lastReadEndedAt !== undefined
   }
 
-  /** Live entries but for this one. */
+  /** Live entries except this one. */
   get peers (): EntryRecord[] {
     return this.roster.live
   }
 
-  /** Other entries that are not known to have ended, with or without a fresh row. */
+  /** Other entries that are not known to have ended, whether their rows are stale or not. */
   get others (): EntryRecord[] {
     return this.roster.others
   }
 
-  /** Live entries that take work, this one included. */
+  /** Live entries that accept work, this one included. */
   get serving (): EntryRecord[] {
     return this.live.filter(({ leaving }) => !leaving)
   }
 
-  /** Ms since all entries' rows were last read. */
+  /** Time since the last successful read of all rows began, in ms. */
   get sinceReadMs (): number {
-    return this.options.clock.now() - this.readAt
+    return this.options.clock.now() - this.lastReadStartedAt
   }
 
-  /** Ms since an entry was last seen to have ended; what it held in memory is gone. */
+  /** Time since the last detected end of an entry, in ms; what that entry had in memory is lost. */
   get sinceEndMs (): number {
     return this.roster.sinceEndMs
   }
 
-  /** The live entry with this incarnation, if its row does not say otherwise. */
+  /** The entry with this incarnation; undefined if its row shows another incarnation or that it has ended. */
   find (entryId: string, incarnation: string): EntryRecord | undefined {
     return this.roster.find(entryId, incarnation)
   }
 
-  /** True if the incarnation's row is replaced, gone or unchanged for too long. */
+  /** True if the incarnation has ended, or its row was replaced, is missing or is stale; false while the table cannot be read. */
   isStale (entryId: string, incarnation: string): boolean {
-    return this.lastScanAt !== undefined && this.roster.isStale(entryId, incarnation)
+    return this.lastReadEndedAt !== undefined && this.roster.isStale(entryId, incarnation)
   }
 
-  /** An entry that joins tells of itself before it claims anything. */
+  /** Adds an entry that introduces itself; entries do so before they claim any submission. */
   introduce (record: EntryRecord): void {
     this.roster.introduce(record)
-    this.announceChange()
+    this.notifyChange()
   }
 
-  /** This entry as its row shows it. */
+  /** The current record of this entry, as written into its row. */
   ownRecord (): EntryRecord {
     const { self, configVersion } = this.options
     return create(EntryRecordSchema, {
@@ -106,23 +112,23 @@
     })
   }
 
-  /** Runs until `stop`; resolves then. Reads go on while writes are held up. */
+  /** Writes heartbeats and reads the rows periodically; resolves after `stop`. A slow write does not delay reads. */
   async run (): Promise<void> {
     await Promise.all([this.repeat(() => this.write()), this.repeat(() => this.refresh())])
   }
 
-  /** Shows in the table that this entry takes no new work. */
+  /** Writes into the own row that this entry accepts no new work. */
   async leave (): Promise<void> {
     this.leaving = true
     await this.write()
   }
 
-  /** Shows in the table that this entry has ended; peers need not wait for its row to go stale. */
+  /** Writes into the own row that this entry has ended, so that others need not wait for the row to become stale. */
   async stop (): Promise<void> {
     this.stopped = true
     const { heartbeatMs } = this.options
     const outcome = await this.commitOwnRow(heartbeatMs)
-    // A heartbeat may have been under way.
+    // The conflict may come from a heartbeat of this process that was being written.
     if (outcome.type !== 'conflict' || !this.isOwn(outcome.row)) return
     this.ownVersion = outcome.row.version
     await this.commitOwnRow(heartbeatMs)
@@ -138,16 +144,16 @@
     const startedAt = clock.now()
     const res = await table.scan(ENTRY_PREFIX, '', MAX_ENTRIES)
     if (!res.ok) {
-      // Rows cannot change while the table is away; that time must not count against anybody.
-      this.lastScanAt = undefined
+      // Rows cannot change while the table is unavailable; no row becomes stale by that time.
+      this.lastReadEndedAt = undefined
       return false
     }
-    const elapsedMs = this.lastScanAt === undefined ? 0 : clock.now() - this.lastScanAt
-    this.lastScanAt = clock.now()
-    this.readAt = startedAt
+    const elapsedMs = this.lastReadEndedAt === undefined ? 0 : clock.now() - this.lastReadEndedAt
+    this.lastReadEndedAt = clock.now()
+    this.lastReadStartedAt = startedAt
     this.roster.apply(res.value, Math.min(elapsedMs, heartbeatMs * 2))
     for (const entry of this.roster.unchangedLongerThan(this.options.rowRetentionMs)) void this.removeRow(entry)
-    this.announceChange()
+    this.notifyChange()
     return true
   }
 
@@ -171,7 +177,7 @@
     return this.options.group.commit(write, this.options.clock.now() + timeoutMs)
   }
 
-  /** The row of this entry's earlier process, or an own write whose outcome stayed unknown. */
+  /** Handles a conflict with the row of an earlier process of this entry, or with an own write whose outcome is unknown. */
   private async onRowConflict (row: TableRow): Promise<void> {
     this.hasReplacedRow ||= row.version !== 0n && !this.isOwn(row)
     const isFirst = this.ownVersion === 0n
@@ -188,10 +194,10 @@
     await group.commit({ key: ENTRY_PREFIX + record.entryId, ifVersion: version, value: undefined }, clock.now() + heartbeatMs)
   }
 
-  private announceChange (): void {
+  private notifyChange (): void {
     const key = this.live.map(({ entryId, incarnation, leaving }) => `${entryId}:${incarnation}:${leaving}`).sort().join()
-    if (key === this.liveKey) return
-    this.liveKey = key
+    if (key === this.lastLiveKey) return
+    this.lastLiveKey = key
     this.options.onChange()
   }
 }
--- a/packages/coordination/src/entries/entryRoster.ts
+++ b/packages/coordination/src/entries/entryRoster.ts
@@ -3,72 +3,75 @@
 import type { EntryRecord } from '@hazellift/protocol'
 import type { TableRow } from '@hazellift/store'
 
-/** Prefix of the rows by which entries show that they live. */
+/** Key prefix of the rows with the heartbeats of entries. */
 export const ENTRY_PREFIX = 'entry/'
 
-/** An entry as this one sees it. */
+/** An entry as this entry knows it. */
 export interface KnownEntry {
   record: EntryRecord
-  /** 0 if the entry introduced itself and its row was not seen yet. */
+  /** Version of its row; 0 if the entry introduced itself and its row was not read yet. */
   version: bigint
-  /** Time that the row stayed unchanged, counted only between reads that succeeded, in ms. */
+  /** How long the row has been unchanged, counted only between successful reads, in ms. */
   unchangedMs: number
 }
 
-/** What the roster needs. */
+/** Dependencies of the roster. */
 export interface EntryRosterOptions {
+  /** Monotonic clock, in ms. */
   now: () => number
+  /** This entry. */
   self: () => Pick<EntryRecord, 'entryId' | 'incarnation'>
+  /** Time after which an unchanged row is stale, in ms. */
   staleAfterMs: number
 }
 
 /**
- * Entries as their rows and introductions show them, and when one was last
- * seen to end. What an ended entry held in its memory is gone.
+ * The entries known from their rows and introductions, and the time of the last
+ * detected end of one. What an ended entry had in memory is lost.
  */
 export class EntryRoster {
   private readonly known = new Map<string, KnownEntry>()
-  private endSeenAt = -Infinity
+  private lastEndAt = -Infinity
 
   constructor (private readonly options: EntryRosterOptions) {}
 
-  /** Other entries whose rows change and that have not ended. */
+  /** Other entries that have not ended and whose rows are not stale. */
   get live (): EntryRecord[] {
     return this.others.filter(({ entryId }) => this.known.get(entryId)!.unchangedMs < this.options.staleAfterMs)
   }
 
-  /** Other entries that are not known to have ended; a stale row alone proves no end. */
+  /** Other entries that are not known to have ended; a stale row alone does not confirm an end. */
   get others (): EntryRecord[] {
     return [...this.known.values()]
       .map(({ record }) => record)
       .filter(({ entryId, ended }) => entryId !== this.options.self().entryId && !ended)
   }
 
-  /** Ms since an entry, this one's earlier process included, was last seen to have ended. */
+  /** Time since the last detected end of an entry, or of an earlier process of this one, in ms; Infinity if there was none. */
   get sinceEndMs (): number {
-    return this.options.now() - this.endSeenAt
+    return this.options.now() - this.lastEndAt
   }
 
-  /** The entry with this incarnation, if its row does not say otherwise. */
+  /** The entry with this incarnation; undefined if its row shows another incarnation or that it has ended. */
   find (entryId: string, incarnation: string): EntryRecord | undefined {
     const record = this.known.get(entryId)?.record
     return record?.incarnation === incarnation && !record.ended ? record : undefined
   }
 
-  /** True if the incarnation has ended, or its row is replaced, gone or unchanged for too long. */
+  /** True if the incarnation has ended, or its row was replaced, is missing or is stale. */
   isStale (entryId: string, incarnation: string): boolean {
     const entry = this.known.get(entryId)
     if (entry === undefined || entry.record.incarnation !== incarnation || entry.record.ended) return true
     return entry.unchangedMs >= this.options.staleAfterMs
   }
 
-  /** Other entries' rows that stayed unchanged for longer than this. */
+  /** Other entries whose rows have been unchanged for longer than `ms`. */
   unchangedLongerThan (ms: number): KnownEntry[] {
     return [...this.known.values()].filter(({ record, unchangedMs }) =>
       unchangedMs > ms && record.entryId !== this.options.self().entryId)
   }
 
-  /** An entry tells of itself before it claims anything. */
+  /** Adds an entry that introduces itself; entries do so before they claim any submission. */
   introduce (record: EntryRecord): void {
     const before = this.known.get(record.entryId)
     if (before?.record.incarnation === record.incarnation) return
@@ -76,7 +79,12 @@
     this.known.set(record.entryId, { record, version: 0n, unchangedMs: 0 })
   }
 
-  /** Takes in all rows as they were read; `elapsedMs` since the read before. */
+  /**
+   * Updates the roster from a read of all rows.
+   *
+   * @param rows - all rows of entries
+   * @param elapsedMs - time since the previous read, as far as it counts towards stale rows
+   */
   apply (rows: TableRow[], elapsedMs: number): void {
     const keys = new Set(rows.map(({ key }) => key.slice(ENTRY_PREFIX.length)))
     for (const row of rows) this.applyRow(row, elapsedMs)
@@ -92,23 +100,23 @@
   }
 
   private onMissing (entry: KnownEntry, elapsedMs: number): void {
-    const isIntroduced = entry.version === 0n && entry.unchangedMs < this.options.staleAfterMs
-    // Its row may be younger than this read.
-    if (isIntroduced) entry.unchangedMs += elapsedMs
+    const mayPredateRow = entry.version === 0n && entry.unchangedMs < this.options.staleAfterMs
+    // The row of an entry that introduced itself may have been written after this read began.
+    if (mayPredateRow) entry.unchangedMs += elapsedMs
     else this.remove(entry)
   }
 
   private remove ({ record }: KnownEntry): void {
     this.known.delete(record.entryId)
-    if (!record.ended && record.entryId !== this.options.self().entryId) this.noteEnd()
+    if (!record.ended && record.entryId !== this.options.self().entryId) this.recordEnd()
   }
 
   private detectEnd (before: KnownEntry | undefined, record: EntryRecord): void {
     const isSame = before?.record.incarnation === record.incarnation
-    const wasReplaced = before !== undefined && !isSame && !before.record.ended
+    const isReplaced = before !== undefined && !isSame && !before.record.ended
     const isNewlyEnded = record.ended && !(isSame && before!.record.ended)
-    const replacedBefore = before === undefined && record.replaced
-    if (wasReplaced || isNewlyEnded || replacedBefore || this.isPredecessor(record)) this.noteEnd()
+    const isFirstReadAfterReplacement = before === undefined && record.replaced
+    if (isReplaced || isNewlyEnded || isFirstReadAfterReplacement || this.isPredecessor(record)) this.recordEnd()
   }
 
   private isPredecessor ({ entryId, incarnation }: EntryRecord): boolean {
@@ -116,7 +124,7 @@
     return entryId === self.entryId && incarnation !== self.incarnation
   }
 
-  private noteEnd (): void {
-    this.endSeenAt = this.options.now()
+  private recordEnd (): void {
+    this.lastEndAt = this.options.now()
   }
 }
--- a/packages/coordination/src/policy/compilePolicy.test.ts
+++ b/packages/coordination/src/policy/compilePolicy.test.ts
@@ -45,7 +45,7 @@
     { running: '10 / (usage.running - 3)' },
     { queued: '-1' },
     { rate: '1e300' }
-  ])('a fault while it runs is an error: %o', (source) => {
+  ])('throws when an expression fails during evaluation: %o', (source) => {
     expect(() => evaluate(source)).toThrow(/policy field/)
   })
 })
--- a/packages/coordination/src/policy/compilePolicy.ts
+++ b/packages/coordination/src/policy/compilePolicy.ts
@@ -9,7 +9,7 @@
 
 type Field = keyof PolicyDecision
 
-/** Type and default of each field of a policy. */
+/** Allowed result types and default expression of each field of a policy. */
 const FIELDS: Record<Field, { types: readonly string[], defaultSource: string }> = {
   admit: { types: ['bool'], defaultSource: 'true' },
   reason: { types: ['string'], defaultSource: '"denied by the workspace\'s policy"' },
@@ -46,7 +46,7 @@
   return { field, line: before.length, column: before.at(-1)!.length + 1, message }
 }
 
-const faultOf = (field: Field, source: string, err: unknown): CompileFault => {
+const toFault = (field: Field, source: string, err: unknown): CompileFault => {
   const isCelError = err instanceof ParseError || err instanceof CelTypeError || err instanceof EvaluationError
   if (!isCelError) return faultAt(field, source, 0, errorMessage(err))
   return faultAt(field, source, err.range?.start ?? 0, err.summary)
@@ -60,7 +60,7 @@
   try {
     const program = environment.parse(source)
     const checked = program.check()
-    if (!checked.valid) return fail(faultOf(field, source, checked.error))
+    if (!checked.valid) return fail(toFault(field, source, checked.error))
     const { types } = FIELDS[field]
     if (!types.includes(checked.type ?? '')) {
       return fail(faultAt(field, source, 0, `must be ${types.join(' or ')}, is ${checked.type}`))
@@ -68,7 +68,7 @@
     const cost = findCostFault(program.ast)
     return cost === undefined ? ok(program) : fail(faultAt(field, source, cost.node.start, cost.message))
   } catch (err) {
-    return fail(faultOf(field, source, err))
+    return fail(toFault(field, source, err))
   }
 }
 
@@ -102,8 +102,8 @@
 /**
  * Compiles and type-checks a policy.
  *
- * @param source - its expressions
- * @returns the policy, or every fault with its field, line and column
+ * @param source - expressions by field; missing and empty ones mean the defaults
+ * @returns the compiled policy, or the first fault of every field that does not compile
  */
 export const compilePolicy = (source: Partial<PolicySource>): Result<CompiledPolicy, CompileFault[]> => {
   const faults: CompileFault[] = []
--- a/packages/coordination/src/policy/constants.ts
+++ b/packages/coordination/src/policy/constants.ts
@@ -1,4 +1,4 @@
-/** Bounds that keep the cost of one evaluation small; see `docs/DESIGN.md` for the measured worst case. */
+/** Limits that keep the cost of one evaluation small; `docs/DESIGN.md` states the worst case. */
 export const POLICY_LIMITS = {
   maxSourceLength: 4096,
   maxAstNodes: 100,
@@ -10,11 +10,11 @@
   maxLabelLength: 256
 } as const
 
-/** Macros that loop; one must not stand within another. */
+/** Macros that loop over a list or map; they must not be nested. */
 export const LOOP_MACROS: ReadonlySet<string> = new Set(['all', 'exists', 'exists_one', 'map', 'filter'])
 
-/** Regular expressions of the library backtrack without bound. */
+/** Functions that policies must not call: the library's regular expressions backtrack without bound. */
 export const FORBIDDEN_CALLS: ReadonlySet<string> = new Set(['matches'])
 
-/** Largest number that a policy may give. */
+/** Largest absolute value of a number that a policy may return. */
 export const MAX_POLICY_NUMBER = 1_000_000_000
--- a/packages/coordination/src/policy/findCostFault.ts
+++ b/packages/coordination/src/policy/findCostFault.ts
@@ -1,7 +1,7 @@
 import type { ASTNode } from '@marcbachmann/cel-js'
 import { FORBIDDEN_CALLS, LOOP_MACROS } from './constants.js'
 
-/** A construct whose cost is not bounded. */
+/** A construct in an expression whose cost is not bounded, and the message for the author of the policy. */
 export interface CostFault {
   node: ASTNode
   message: string
@@ -19,10 +19,12 @@
   node.op === 'call' || node.op === 'rcall' ? node.args[0] : undefined
 
 /**
- * Finds the first construct that could make an evaluation expensive.
+ * Finds the first construct that could make an evaluation expensive: a forbidden
+ * call or a nested loop.
  *
  * @param node - the expression
  * @param isInLoop - true within a macro that loops
+ * @returns the construct; undefined if there is none
  */
 export const findCostFault = (node: ASTNode, isInLoop = false): CostFault | undefined => {
   const name = calledName(node) ?? ''
--- a/packages/coordination/src/policy/types.ts
+++ b/packages/coordination/src/policy/types.ts
@@ -1,4 +1,4 @@
-/** What a policy sees of the job. */
+/** The facts about a job that a policy can use. */
 export interface PolicyJob {
   id: string
   service: string
@@ -9,13 +9,13 @@
   labels: Record<string, string>
 }
 
-/** What a policy sees of its own workspace at this entry. */
+/** The facts about its own workspace at this entry that a policy can use, in tasks. */
 export interface PolicyUsage {
   running: number
   queued: number
 }
 
-/** What a policy decided; limits of 0 are none. */
+/** The decision of a policy about a job; a limit of 0 means that there is none. */
 export interface PolicyDecision {
   admit: boolean
   reason: string
@@ -27,10 +27,10 @@
   retries: number
 }
 
-/** The expressions of a policy; empty ones take their default. */
+/** The expressions of a policy by field; an empty expression means the default of its field. */
 export type PolicySource = Record<keyof PolicyDecision, string>
 
-/** A place in a policy that does not compile. */
+/** A fault in a policy that does not compile, and its position. */
 export interface CompileFault {
   field: string
   /** From 1. */
@@ -42,6 +42,10 @@
 
 /** A policy that is ready to be evaluated. */
 export interface CompiledPolicy {
-  /** @throws PolicyEvaluationError if an expression fails on these facts */
+  /**
+   * Decides about a job.
+   *
+   * @throws PolicyEvaluationError if an expression fails with these facts
+   */
   evaluate: (job: PolicyJob, usage: PolicyUsage) => PolicyDecision
 }
--- a/packages/coordination/src/session/outbox.ts
+++ b/packages/coordination/src/session/outbox.ts
@@ -1,6 +1,6 @@
 /**
- * Collects the parts of frames that are ready together. The consumer iterates;
- * while it is busy with one frame, further parts merge into the next.
+ * Merges changes that are ready at the same time into one frame. The consumer
+ * iterates over the frames; changes made while it handles one go into the next.
  */
 export class Outbox<Frame extends object> implements AsyncIterable<Frame> {
   private pending: Frame | undefined
@@ -8,32 +8,33 @@
   private closed = false
 
   /**
-   * @param empty - makes a frame with nothing in it
-   * @param yieldTurn - resolves after the events that are ready now; lets their parts join the frame
+   * @param createFrame - creates an empty frame
+   * @param yieldTurn - resolves once the events that are ready now were handled, so that their changes go into the same frame
    */
   constructor (
-    private readonly empty: () => Frame,
+    private readonly createFrame: () => Frame,
     private readonly yieldTurn: () => Promise<void>
   ) {}
 
   /**
-   * Adds to the next frame.
+   * Changes the next frame, and has it sent. Does nothing after `close`.
    *
-   * @param add - changes the frame in place
+   * @param change - changes the frame in place
    */
-  add (add: (frame: Frame) => void): void {
+  add (change: (frame: Frame) => void): void {
     if (this.closed) return
-    this.pending ??= this.empty()
-    add(this.pending)
+    this.pending ??= this.createFrame()
+    change(this.pending)
     this.wake?.()
   }
 
-  /** Ends the iteration once what is pending was taken. */
+  /** Ends the iteration once the pending frame was taken. */
   close (): void {
     this.closed = true
     this.wake?.()
   }
 
+  /** The frames, each as soon as it has a change; for one consumer. */
   async * [Symbol.asyncIterator] (): AsyncGenerator<Frame> {
     while (true) {
       if (this.pending === undefined) {
--- a/packages/coordination/src/session/types.ts
+++ b/packages/coordination/src/session/types.ts
@@ -1,40 +1,44 @@
 import type { AgentFrame, EntryFrame, Hello } from '@hazellift/protocol'
 
-/** Adds to the next frame to one entry. */
-export type AddToFrame = (add: (frame: AgentFrame) => void) => void
+/** Changes the next frame that an agent sends to one entry. */
+export type AddToFrame = (change: (frame: AgentFrame) => void) => void
 
-/** An agent's side of its sessions, as the transport drives it. */
+/** An agent's side of its sessions; the transport calls it. */
 export interface SessionHost {
-  /** A session with an entry's incarnation is open; an earlier one with the same incarnation has been closed. */
+  /** A session with an incarnation of an entry was opened; an earlier one with the same incarnation counts as closed. */
   openSession: (incarnation: string, add: AddToFrame) => void
+  /** The session that was opened with this `add` has ended. */
   closeSession: (incarnation: string, add: AddToFrame) => void
-  /** Handles what an entry sent on an open session. */
+  /** Handles a frame that an entry sent on an open session. */
   onFrame: (incarnation: string, add: AddToFrame, frame: EntryFrame) => void
-  /** Fills in what every frame carries. */
+  /** Adds the present values that every frame carries, just before it is sent. */
   fillFrame: (incarnation: string, frame: AgentFrame) => void
-  /** True while tasks of the entry are here; unset where every session counts as busy. */
+  /** True while the agent has tasks of the entry; unset where every session counts as busy. */
   isBusyWith?: (incarnation: string) => boolean
-  /** The session will be ended: the entry must send no start on it any more. */
+  /** Asks the entry to send no more starts on the session, which will be ended. */
   retireSession?: (incarnation: string, add: AddToFrame) => void
 }
 
-/** The open session to an agent, as an entry uses it. */
+/** An open session with an agent, as an entry uses it. */
 export interface AgentLink {
-  /** Adds to the next frame. */
-  add: (add: (frame: EntryFrame) => void) => void
-  /** Acknowledges results up to this one with whatever frame goes next; asks for none. */
+  /** Changes the next frame to the agent, and has it sent. */
+  add: (change: (frame: EntryFrame) => void) => void
+  /** Acknowledges results up to this number with the next frame; causes no frame by itself. */
   acknowledge: (seq: bigint) => void
+  /** Ends the session. */
   close: () => void
 }
 
-/** An entry's side of its sessions, as the transport drives it. */
+/** An entry's side of its sessions; the transport calls it. */
 export interface SessionDispatcher<Agent> {
-  /** An agent opened a session. An earlier one with it is over. */
+  /** An agent opened a session; an earlier one with the same agent counts as ended. */
   open: (hello: Hello, link: AgentLink) => Agent
+  /** Handles a frame that an agent sent. */
   onFrame: (agent: Agent, link: AgentLink, frame: AgentFrame) => void
+  /** The session of this link has ended. */
   closed: (agent: Agent, link: AgentLink) => void
-  /** Fills in what every frame carries. */
+  /** Adds the present values that every frame carries, just before it is sent. */
   fillFrame?: (agent: Agent, frame: EntryFrame) => void
-  /** True while orders to the agent are out; unset where every session counts as busy. */
+  /** True while orders to the agent are outstanding; unset where every session counts as busy. */
   isBusyWith?: (agent: Agent) => boolean
 }
