--- a/packages/sessions/src/createSessions.ts
+++ b/packages/sessions/src/createSessions.ts
@@ -10,51 +10,54 @@
 import { KeepAliveMonitor } from './keepAliveMonitor.js'
 import type { KeepAliveOptions } from './keepAliveMonitor.js'
 
-/** What sessions need. */
+/** Dependencies of the sessions of an entry. */
 export interface SessionOptions<Agent> {
+  /** Handles what agents send. */
   dispatcher: SessionDispatcher<Agent>
-  /** Told of every frame read, and of every one sent. */
+  /** Called with every frame received and every frame sent, for metrics. */
   observe: { read: (frame: AgentFrame) => void, sent: (frame: EntryFrame) => void }
   entryId: string
   incarnation: string
-  /** How often agents hear of this entry, and how long one may be silent. */
+  /** Keep-alive intervals and timeouts. */
   keepAlive: KeepAliveOptions
-  /** Entries that agents may dial. */
+  /** Entries that agents may dial; sent to each agent. */
   entries: () => EntryPlace[]
 }
 
-/** Sessions open at this entry. */
+/** The open sessions of an entry with its agents. */
 export interface Sessions {
+  /** Accepts sessions of agents. */
   service: ServiceImpl<typeof SessionService>
-  /** Tells all agents which entries live. */
+  /** Sends all agents the current list of entries, after a short delay. */
   broadcastEntries: () => void
-  /** Tells all agents that this entry takes no new work. */
+  /** Notifies all agents that this entry accepts no new work. */
   leave: () => void
+  /** Ends all sessions once their pending frames are sent. */
   closeAll: () => void
 }
 
 interface Session<Agent> {
   link: AgentLink
-  /** Set once the agent said hello. */
+  /** Set once the agent's hello was received. */
   agent: Agent | undefined
-  /** The last result that arrived; goes out with the next frame. */
+  /** Number of the last result received; acknowledged with the next frame. */
   ackedSeq: bigint
 }
 
 const log = createLogger('entry:session')
 const newFrame = (): EntryFrame => create(EntryFrameSchema)
 
-/** Entries that come or go together are told of in one list: at the start of a fleet of 35, each of them would be one more. */
+/** Delay that collects several changes into one list: without it, the start of a fleet of 35 entries sends each agent 35 lists. */
 const BROADCAST_DELAY_MS = 200
 
-/** The agents' side of an entry's server: one task a session. */
+/** Serves the sessions of agents, each by one call of `open`. */
 class AgentSessions<Agent extends { agentId: string }> implements Sessions {
   private readonly outboxes = new Set<Outbox<EntryFrame>>()
-  private readonly pulse: KeepAliveMonitor
+  private readonly keepAliveMonitor: KeepAliveMonitor
   private broadcastTimer: NodeJS.Timeout | undefined
 
   constructor (private readonly options: SessionOptions<Agent>) {
-    this.pulse = new KeepAliveMonitor(options.keepAlive)
+    this.keepAliveMonitor = new KeepAliveMonitor(options.keepAlive)
   }
 
   readonly service: Sessions['service'] = { open: (frames, context) => this.open(frames, context) }
@@ -73,8 +76,8 @@
     for (const outbox of this.outboxes) outbox.close()
   }
 
-  private addToAll (add: (frame: EntryFrame) => void): void {
-    for (const outbox of this.outboxes) outbox.add(add)
+  private addToAll (change: (frame: EntryFrame) => void): void {
+    for (const outbox of this.outboxes) outbox.add(change)
   }
 
   private readonly addEntryList = (frame: EntryFrame): void => {
@@ -84,31 +87,31 @@
   private async * open (frames: AsyncIterable<AgentFrame>, context: HandlerContext): AsyncGenerator<EntryFrame> {
     const { dispatcher, observe } = this.options
     const outbox = this.openOutbox()
-    const link: AgentLink = { add: (add) => outbox.add(add), acknowledge: (seq) => { session.ackedSeq = seq }, close: () => outbox.close() }
+    const link: AgentLink = { add: (change) => outbox.add(change), acknowledge: (seq) => { session.ackedSeq = seq }, close: () => outbox.close() }
     const session: Session<Agent> = { link, agent: undefined, ackedSeq: 0n }
-    const watched = this.pulse.watch({
+    const watch = this.keepAliveMonitor.watch({
       isBusy: () => session.agent === undefined || dispatcher.isBusyWith?.(session.agent) !== false,
       sendKeepAlive: () => link.add(() => {}),
       onTimeout: link.close
     })
     context.signal.addEventListener('abort', link.close)
-    void this.read(frames, session, watched.onReceived)
+    void this.read(frames, session, watch.onReceived)
     try {
       for await (const frame of outbox) {
         frame.ackedSeq = session.ackedSeq
         if (session.agent !== undefined) dispatcher.fillFrame?.(session.agent, frame)
         observe.sent(frame)
-        watched.onSent()
+        watch.onSent()
         yield frame
       }
     } finally {
-      watched.stop()
+      watch.stop()
       this.outboxes.delete(outbox)
       if (session.agent !== undefined) dispatcher.closed(session.agent, link)
     }
   }
 
-  /** The first frame of a session waits in its outbox. */
+  /** Opens the outbox of a new session, with the welcome and the list of entries in its first frame. */
   private openOutbox (): Outbox<EntryFrame> {
     const { entryId, incarnation } = this.options
     const outbox = new Outbox(newFrame, () => yieldTurn())
@@ -120,11 +123,11 @@
     return outbox
   }
 
-  private async read (frames: AsyncIterable<AgentFrame>, session: Session<Agent>, seen: () => void): Promise<void> {
+  private async read (frames: AsyncIterable<AgentFrame>, session: Session<Agent>, onReceived: () => void): Promise<void> {
     const { dispatcher, observe } = this.options
     try {
       for await (const frame of frames) {
-        seen()
+        onReceived()
         observe.read(frame)
         if (frame.hello !== undefined) session.agent = dispatcher.open(frame.hello, session.link)
         if (session.agent !== undefined) dispatcher.onFrame(session.agent, session.link, frame)
@@ -138,8 +141,8 @@
 }
 
 /**
- * Sessions of an entry with its agents.
+ * Creates the sessions of an entry with its agents.
  *
- * @param options - what sessions need
+ * @param options - their dependencies
  */
 export const createSessions = <Agent extends { agentId: string }>(options: SessionOptions<Agent>): Sessions => new AgentSessions(options)
--- a/packages/sessions/src/dialEntry.ts
+++ b/packages/sessions/src/dialEntry.ts
@@ -11,18 +11,19 @@
 import type { DialHandle } from './entryDialer.js'
 import type { KeepAliveMonitor, SessionWatch } from './keepAliveMonitor.js'
 
-/** What an agent's sessions need. */
+/** Dependencies of the sessions of an agent. */
 export interface DialOptions {
+  /** Handles what entries send. */
   host: SessionHost
   agentId: string
   incarnation: string
   zone: string
   clusterToken: string
-  /** Looks after all sessions of the process. */
+  /** Watches all sessions of the process. */
   keepAliveMonitor: KeepAliveMonitor
 }
 
-/** The entry at the other end; its incarnation is empty until it said welcome. */
+/** The entry at the other end; its incarnation is empty until its welcome was received. */
 interface Peer {
   incarnation: string
 }
@@ -34,7 +35,7 @@
   return next(req)
 }
 
-/** A session that is no longer wanted is looked at this often, whether anything of the entry is left here. */
+/** How often a retired session is checked for tasks of its entry that remain at this agent. */
 const RETIRE_CHECK_MS = 250
 
 const openOutbox = ({ agentId, incarnation, zone }: DialOptions): Outbox<AgentFrame> => {
@@ -43,28 +44,28 @@
   return outbox
 }
 
-/** Fills in each frame's stamp as it leaves, so that the stamp is fresh. */
-async function * filledFrames (host: SessionHost, outbox: Outbox<AgentFrame>, peer: Peer, watched: SessionWatch): AsyncGenerator<AgentFrame> {
+/** Fills in each frame only when it is sent, so that its timestamp is current. */
+async function * filledFrames (host: SessionHost, outbox: Outbox<AgentFrame>, peer: Peer, watch: SessionWatch): AsyncGenerator<AgentFrame> {
   for await (const frame of outbox) {
     host.fillFrame(peer.incarnation, frame)
-    watched.onSent()
+    watch.onSent()
     yield frame
   }
 }
 
-/** Ends a session that is no longer wanted: the entry sends no start any more, and what is here of it ends first. */
-const retire = async (host: SessionHost, peer: Peer, add: AddToFrame, over: AbortController): Promise<void> => {
+/** Ends a session that is no longer needed: asks the entry to send no more starts, and waits until its tasks here have ended. */
+const retire = async (host: SessionHost, peer: Peer, add: AddToFrame, ending: AbortController): Promise<void> => {
   if (peer.incarnation !== '') host.retireSession?.(peer.incarnation, add)
   do await delay(RETIRE_CHECK_MS)
-  while (!over.signal.aborted && host.isBusyWith?.(peer.incarnation) === true)
-  over.abort()
+  while (!ending.signal.aborted && host.isBusyWith?.(peer.incarnation) === true)
+  ending.abort()
 }
 
 const openStream = (address: string, options: DialOptions, frames: AsyncIterable<AgentFrame>, signal: AbortSignal): AsyncIterable<EntryFrame> => {
   const transport = createConnectTransport({
     baseUrl: `http://${address}`,
     httpVersion: '2',
-    // Compressing the larger frames took 8% of an entry's processor time and 4% of an agent's, by a profile under load.
+    // Compressing the larger frames takes 8% of an entry's processor time and 4% of an agent's under load.
     acceptCompression: [],
     interceptors: [addToken(options.clusterToken)]
   })
@@ -72,31 +73,31 @@
 }
 
 /**
- * Holds one session with an entry until it ends, for whatever reason.
+ * Runs one session with an entry; resolves when it has ended, for whatever reason.
  *
  * @param address - the entry's session address
- * @param options - what a session needs
- * @param handle - how the dialer steers it, and hears of it
+ * @param options - dependencies of the session
+ * @param handle - by which the dialer ends the session and is notified of its events
  */
 export const dialEntry = async (address: string, options: DialOptions, handle: DialHandle): Promise<void> => {
-  const { host, keepAliveMonitor: pulse } = options
+  const { host, keepAliveMonitor } = options
   const outbox = openOutbox(options)
   const add: AddToFrame = (change) => outbox.add(change)
-  const over = new AbortController()
-  const { signal } = over
+  const ending = new AbortController()
+  const { signal } = ending
   const peer: Peer = { incarnation: '' }
-  const watched = pulse.watch({
-    // Until the entry has said welcome, its silence must be noticed soon.
+  const watch = keepAliveMonitor.watch({
+    // A session counts as busy until the welcome: an entry that does not answer must be detected soon.
     isBusy: () => peer.incarnation === '' || host.isBusyWith?.(peer.incarnation) !== false,
     sendKeepAlive: () => outbox.add(() => {}),
-    onTimeout: () => over.abort()
+    onTimeout: () => ending.abort()
   })
-  handle.signal.addEventListener('abort', () => over.abort(), { signal })
-  if (handle.signal.aborted) over.abort()
-  handle.retired.addEventListener('abort', () => { void retire(host, peer, add, over) }, { signal })
+  handle.signal.addEventListener('abort', () => ending.abort(), { signal })
+  if (handle.signal.aborted) ending.abort()
+  handle.retired.addEventListener('abort', () => { void retire(host, peer, add, ending) }, { signal })
   try {
-    for await (const frame of openStream(address, options, filledFrames(host, outbox, peer, watched), signal)) {
-      watched.onReceived()
+    for await (const frame of openStream(address, options, filledFrames(host, outbox, peer, watch), signal)) {
+      watch.onReceived()
       if (frame.welcome !== undefined) {
         peer.incarnation = frame.welcome.incarnation
         log('session_open', { address, entry: frame.welcome.entryId })
@@ -109,8 +110,8 @@
   } catch (err) {
     log('session_ended', { address, error: errorMessage(err) })
   } finally {
-    watched.stop()
-    over.abort()
+    watch.stop()
+    ending.abort()
     outbox.close()
     if (peer.incarnation !== '') host.closeSession(peer.incarnation, add)
   }
--- a/packages/sessions/src/entryDialer.ts
+++ b/packages/sessions/src/entryDialer.ts
@@ -4,71 +4,71 @@
 import type { EntryPlace, PartLimits } from '@hazellift/decisions'
 import { KnownEntries } from './knownEntries.js'
 
-/** How the dialer steers one session, and hears of it. */
+/** Ends one session for the dialer, and notifies the dialer of its events. */
 export interface DialHandle {
   /** Ends the session at once. */
   signal: AbortSignal
-  /** Ends the session once nothing of the entry is in the agent's hands. */
+  /** Ends the session once the agent has no task of the entry any more. */
   retired: AbortSignal
-  /** The entry has said welcome. */
+  /** The entry's welcome was received. */
   onOpen: () => void
-  /** The entry told of those that it knows. */
+  /** The entry sent the list of entries that it knows. */
   onEntries: (entries: EntryPlace[]) => void
 }
 
-/** What the dialer needs. */
+/** Dependencies and settings of the dialer. */
 export interface EntryDialerOptions {
   clock: Clock
   random: Random
   /** The agent's availability zone. */
   zone: string
-  /** Score of an entry for this agent; the highest are preferred. */
+  /** Rendezvous score of an entry for this agent; the highest are chosen. */
   score: (address: string) => number
-  /** How many entries the agent holds sessions with. */
+  /** How many entries the agent keeps sessions with. */
   limits: PartLimits
-  /** Addresses to begin with, before any entry is known. */
+  /** Addresses to dial before any entry is known. */
   seeds: string[]
-  /** Pause before each seed; once an entry is known, no further seed is dialled. */
+  /** Delay before each seed, in ms; once an entry is known, no further seed is dialled. With 0 all seeds are dialled at once. */
   seedIntervalMs: number
-  /** Holds one session until it ends. */
+  /** Runs one session; resolves when it has ended. */
   dial: (address: string, handle: DialHandle) => Promise<void>
 }
 
 const BACKOFF = { baseMs: 50, maxMs: 2000 }
-/** A session that lasted this long counts as a success, so that the next dial is quick again. */
+/** A session that lasted longer than this resets the backoff, so that the next dial follows soon. In ms. */
 const STABLE_MS = 2000
-/** Dials that fail one after the other before an entry that nobody lists is given up. */
+/** Consecutive failed dials after which an entry that no source lists is dropped. */
 const MAX_UNLISTED_FAILURES = 8
-/** A process that was killed is back sooner; one that is gone for longer is replaced by another entry. */
+/** Time without a session after which an entry counts as unreachable and another one takes its place, in ms. A killed process restarts sooner. */
 const UNREACHABLE_AFTER_MS = 1000
-/** So long an entry that was given up counts as lost, so that another one is tried. */
+/** How long a dropped entry still counts as unreachable, so that another one is tried, in ms. */
 const UNREACHABLE_MEMORY_MS = 10_000
-/** So long a session is kept that is no longer wanted: lists and losses come and go. */
+/** How long a session is kept after its entry is no longer chosen, in ms: lists and unreachable entries may change back soon. */
 const RETIRE_DELAY_MS = 3000
 
-/** Sessions with one entry, one after the other. */
+/** State of the successive sessions with one entry. */
 interface DialState {
   readonly stopped: AbortController
   readonly retired: AbortController
   isOpen: boolean
-  /** When the last session ended, or when dialling began. */
+  /** When the last session ended, or dialling began if there was none. */
   closedAt: number
-  /** Since when it is not wanted. */
+  /** Since when the entry is not chosen; unset while it is. */
   notChosenSince: number | undefined
 }
 
-/** Stands for a source that is no entry. */
+/** Source of entries that were looked up elsewhere; no entry has this address. */
 const LOOKUP_SOURCE = ''
 
 const log = createLogger('agent:dialer')
 
 /**
- * Holds sessions with a part of the live entries: the seeds at first, then those
- * that `choosePart` chooses of all that any entry lists.
+ * Keeps sessions with a subset of the live entries: the seeds at first, then those
+ * that `chooseSubset` chooses of all entries that any source lists.
  */
 export class EntryDialer {
   private readonly dials = new Map<string, DialState>()
-  /** When entries were given up that could not be reached. */
+  /** When entries were dropped that could not be reached, by address. */
   private readonly unreachableAt = new Map<string, number>()
   private readonly known = new KnownEntries()
   private readonly seeds: Set<string>
@@ -78,35 +78,35 @@
     this.seeds = new Set(options.seeds)
   }
 
-  /** Dials the seeds, in the order in which this agent prefers them. */
+  /** Dials the seeds, those with the highest score first. */
   start (): void {
-    const { score, seedIntervalMs: seedPaceMs, clock } = this.options
+    const { score, seedIntervalMs, clock } = this.options
     const ranked = [...this.seeds].sort((a, b) => score(b) - score(a))
     for (const [index, address] of ranked.entries()) {
-      if (seedPaceMs === 0) this.startDialing(address)
-      else clock.after((index + 1) * seedPaceMs, () => { if (this.known.isEmpty) this.startDialing(address) })
+      if (seedIntervalMs === 0) this.startDialing(address)
+      else clock.after((index + 1) * seedIntervalMs, () => { if (this.known.isEmpty) this.startDialing(address) })
     }
   }
 
-  /** Sessions that stand now. */
+  /** Number of open sessions. */
   get openSessionCount (): number {
-    let open = 0
-    for (const { isOpen } of this.dials.values()) if (isOpen) open++
-    return open
+    let count = 0
+    for (const { isOpen } of this.dials.values()) if (isOpen) count++
+    return count
   }
 
-  /** Further addresses to begin with. */
+  /** Adds seeds, and dials them if no session is open. */
   addSeeds (addresses: string[]): void {
     for (const address of addresses) this.seeds.add(address)
     if (this.openSessionCount === 0) this.dialSeeds()
   }
 
-  /** Dials the seeds once more, where no session stands. */
+  /** Dials all seeds that are not being dialled already. */
   dialSeeds (): void {
     for (const address of this.seeds) this.startDialing(address)
   }
 
-  /** Entries were looked up elsewhere; counts until an entry tells of those that it knows. */
+  /** Adopts entries that were looked up elsewhere; they are used until an entry sends its own list. */
   onLookedUp (entries: EntryPlace[]): void {
     this.known.set(LOOKUP_SOURCE, entries)
     this.update()
@@ -124,17 +124,17 @@
     for (const { stopped } of this.dials.values()) stopped.abort()
   }
 
-  /** Begins what is wanted, and ends what has not been for a while. */
+  /** Dials the chosen entries, and retires sessions with entries that have not been chosen for a while. */
   private update (): void {
     if (this.isStopped || this.known.isEmpty) return
     const { zone, score, limits, clock } = this.options
     const known = this.known.all
     const listed = new Set(known.map(({ address }) => address))
-    const wanted = choosePart(known, { zone, score, isLost: (address) => this.isUnreachable(address) }, limits)
-    for (const address of wanted) this.startDialing(address)
+    const chosen = choosePart(known, { zone, score, isLost: (address) => this.isUnreachable(address) }, limits)
+    for (const address of chosen) this.startDialing(address)
     for (const [address, dial] of this.dials) {
-      // An entry that nobody lists is about to stop, or a seed: it ends its session itself, once its jobs are over.
-      if (wanted.has(address) || !listed.has(address)) dial.notChosenSince = undefined
+      // An entry that no source lists is a seed, or is stopping and ends the session itself once its jobs are done.
+      if (chosen.has(address) || !listed.has(address)) dial.notChosenSince = undefined
       else if (!dial.isOpen) dial.retired.abort()
       else if (dial.notChosenSince === undefined) this.scheduleRetirement(dial, clock.now())
     }
@@ -156,7 +156,7 @@
     const { clock, random } = this.options
     const backoff = createBackoff(BACKOFF, random)
     let failures = 0
-    while (!this.hasEnded(address, dial, failures)) {
+    while (!this.shouldStop(address, dial, failures)) {
       const startedAt = clock.now()
       await this.dialOnce(address, dial)
       failures = clock.now() - startedAt > STABLE_MS ? 1 : failures + 1
@@ -186,12 +186,12 @@
     dial.isOpen = false
   }
 
-  private hasEnded (address: string, { retired }: DialState, failures: number): boolean {
+  private shouldStop (address: string, { retired }: DialState, failures: number): boolean {
     if (this.isStopped || retired.signal.aborted) return true
     return failures >= MAX_UNLISTED_FAILURES && !this.seeds.has(address) && !this.known.all.some((entry) => entry.address === address)
   }
 
-  /** True for an entry that could not be reached for a while. */
+  /** True for an entry that could not be reached for a while, or that was dropped lately for that reason. */
   private isUnreachable (address: string): boolean {
     const now = this.options.clock.now()
     const dial = this.dials.get(address)
--- a/packages/sessions/src/handOnStreams.ts
+++ b/packages/sessions/src/handOnStreams.ts
@@ -12,9 +12,11 @@
 
 const log = createLogger('entry:hand-on')
 
-/** What a stream to a neighbour needs. */
+/** Dependencies of a stream to a neighbour. */
 export interface DialHandOnOptions {
+  /** Handles what the neighbour sends. */
   jobs: Pick<HandedOnJobs, 'open' | 'closed' | 'onFrame' | 'stamp'>
+  /** This entry, as it introduces itself. */
   entryId: string
   zone: string
   /** Ends the stream. */
@@ -22,21 +24,21 @@
 }
 
 /**
- * Holds a stream on which this entry hands work to a neighbour, until it ends.
+ * Runs a stream on which this entry hands jobs on (forwards them to a neighbour); resolves when it has ended.
  *
- * @param neighbour - where it is
- * @param options - what a stream needs
+ * @param neighbour - address and zone of the other entry
+ * @param options - dependencies of the stream
  */
 export const dialHandOn = async ({ address, zone }: EntryPlace, { jobs, entryId, zone: ownZone, signal }: DialHandOnOptions): Promise<void> => {
   const outbox = new Outbox<CallerFrame>(() => create(CallerFrameSchema), () => yieldTurn())
   outbox.add((frame) => { frame.hello = create(HandOnHelloSchema, { entryId, zone: ownZone }) })
-  const over = new AbortController()
-  const end = (): void => over.abort()
-  signal.addEventListener('abort', end, { signal: over.signal })
+  const ending = new AbortController()
+  const end = (): void => ending.abort()
+  signal.addEventListener('abort', end, { signal: ending.signal })
   if (signal.aborted) end()
-  const link: HandOnLink<CallerFrame> = { add: (add) => outbox.add(add), close: end }
+  const link: HandOnLink<CallerFrame> = { add: (change) => outbox.add(change), close: end }
   let peer: HandOnPeer | undefined
-  const stamped = async function * (): AsyncGenerator<CallerFrame> {
+  const filledFrames = async function * (): AsyncGenerator<CallerFrame> {
     for await (const frame of outbox) {
       if (peer !== undefined) jobs.stamp(peer, frame)
       yield frame
@@ -44,7 +46,7 @@
   }
   const transport = createConnectTransport({ baseUrl: `http://${address}`, httpVersion: '2', acceptCompression: [] })
   try {
-    for await (const frame of createClient(HandOnService, transport).open(stamped(), { signal: over.signal })) {
+    for await (const frame of createClient(HandOnService, transport).open(filledFrames(), { signal: ending.signal })) {
       if (peer === undefined) {
         peer = jobs.open(address, zone, link)
         log('stream_open', { address })
@@ -60,7 +62,7 @@
   }
 }
 
-/** The other side: entries that hand work to this one, one task a stream. */
+/** Serves the streams of entries that hand jobs on to this one, each by one call of `open`. */
 class HandOnServer {
   constructor (private readonly jobs: Pick<HostedJobs, 'open' | 'closed' | 'onFrame' | 'stamp'>) {}
 
@@ -68,7 +70,7 @@
 
   private async * open (frames: AsyncIterable<CallerFrame>, context: HandlerContext): AsyncGenerator<HostFrame> {
     const outbox = new Outbox<HostFrame>(() => create(HostFrameSchema), () => yieldTurn())
-    const link: HandOnLink<HostFrame> = { add: (add) => outbox.add(add), close: () => outbox.close() }
+    const link: HandOnLink<HostFrame> = { add: (change) => outbox.add(change), close: () => outbox.close() }
     const opened: { peer: HostedPeer | undefined } = { peer: undefined }
     context.signal.addEventListener('abort', link.close)
     void this.read(frames, link, opened)
@@ -97,8 +99,8 @@
 }
 
 /**
- * Takes streams of entries that hand work on.
+ * Creates the service that accepts streams of entries that hand jobs on to this one.
  *
- * @param jobs - what runs their jobs
+ * @param jobs - runs their jobs
  */
 export const createHandOnService = (jobs: Pick<HostedJobs, 'open' | 'closed' | 'onFrame' | 'stamp'>): ServiceImpl<typeof HandOnService> => new HandOnServer(jobs).service
--- a/packages/sessions/src/index.ts
+++ b/packages/sessions/src/index.ts
@@ -1,4 +1,4 @@
-/** Sessions between agents and entries over Connect: one bidirectional stream for each pair. */
+/** Sessions between agents and entries, and streams between entries, over Connect: one bidirectional stream for each pair. */
 export * from './createSessions.js'
 export * from './dialEntry.js'
 export * from './entryDialer.js'
--- a/packages/sessions/src/keepAliveMonitor.test.ts
+++ b/packages/sessions/src/keepAliveMonitor.test.ts
@@ -6,45 +6,46 @@
 interface Case {
   name: string
   lengthMs: number
-  /** Frames that leave by themselves. */
-  framesAt?: number[]
-  /** Frames that arrive; every 100 ms if unset. */
-  seenAt?: number[]
+  /** When frames other than keep-alive frames are sent. */
+  sentAt?: number[]
+  /** When frames are received; every 100 ms if unset. */
+  receivedAt?: number[]
+  /** From when the session is busy; never if unset. */
   busyFrom?: number
-  keptAt: number[]
-  givenUpAt?: number
+  keepAlivesAt: number[]
+  timedOutAt?: number
 }
 
-describe('keep-alive frames and silence', () => {
+describe('keep-alive frames and timeouts', () => {
   beforeEach(() => { vi.useFakeTimers() })
   afterEach(() => { vi.useRealTimers() })
   const cases: Case[] = [
-    { name: 'a busy session shows that it lives at every interval', lengthMs: 500, busyFrom: 0, keptAt: [150, 300, 450] },
-    { name: 'an idle one less often', lengthMs: 700, keptAt: [300, 600] },
-    { name: 'nothing is added where other frames leave', lengthMs: 450, busyFrom: 0, framesAt: [100, 200, 300, 400], keptAt: [] },
-    { name: 'a whole interval follows the last frame', lengthMs: 420, busyFrom: 0, framesAt: [100], keptAt: [250, 400] },
-    { name: 'one that gets busy after a while shows it by the shorter interval at once', lengthMs: 300, busyFrom: 190, keptAt: [200] },
-    { name: 'a busy one is given up soon', lengthMs: 600, busyFrom: 0, seenAt: [0], keptAt: [150, 300, 450], givenUpAt: 550 },
-    { name: 'an idle one later', lengthMs: 1100, seenAt: [0], keptAt: [300, 600, 900], givenUpAt: 1050 }
+    { name: 'a busy session sends a keep-alive frame every busy interval', lengthMs: 500, busyFrom: 0, keepAlivesAt: [150, 300, 450] },
+    { name: 'an idle session sends a keep-alive frame every idle interval', lengthMs: 700, keepAlivesAt: [300, 600] },
+    { name: 'no keep-alive frame is sent while other frames are sent more often', lengthMs: 450, busyFrom: 0, sentAt: [100, 200, 300, 400], keepAlivesAt: [] },
+    { name: 'the next keep-alive frame is sent a whole interval after the last frame', lengthMs: 420, busyFrom: 0, sentAt: [100], keepAlivesAt: [250, 400] },
+    { name: 'a session that becomes busy uses the shorter interval from the next check on', lengthMs: 300, busyFrom: 190, keepAlivesAt: [200] },
+    { name: 'a busy session times out after the busy timeout', lengthMs: 600, busyFrom: 0, receivedAt: [0], keepAlivesAt: [150, 300, 450], timedOutAt: 550 },
+    { name: 'an idle session times out after the idle timeout', lengthMs: 1100, receivedAt: [0], keepAlivesAt: [300, 600, 900], timedOutAt: 1050 }
   ]
-  it.each(cases)('$name', ({ lengthMs, framesAt = [], seenAt, busyFrom = Infinity, keptAt, givenUpAt }) => {
+  it.each(cases)('$name', ({ lengthMs, sentAt = [], receivedAt, busyFrom = Infinity, keepAlivesAt, timedOutAt }) => {
     const startedAt = Date.now()
     const passed = (): number => Date.now() - startedAt
-    const kept: number[] = []
-    let given: number | undefined
-    const watched = new KeepAliveMonitor(OPTIONS, Date.now).watch({
+    const keepAlives: number[] = []
+    let timedOut: number | undefined
+    const watch = new KeepAliveMonitor(OPTIONS, Date.now).watch({
       isBusy: () => passed() >= busyFrom,
       sendKeepAlive: () => {
-        kept.push(passed())
-        watched.onSent()
+        keepAlives.push(passed())
+        watch.onSent()
       },
-      onTimeout: () => { given ??= passed() }
+      onTimeout: () => { timedOut ??= passed() }
     })
-    for (const at of framesAt) setTimeout(watched.onSent, at)
-    for (const at of seenAt ?? Array.from({ length: 20 }, (_, index) => index * 100)) setTimeout(watched.onReceived, at)
+    for (const at of sentAt) setTimeout(watch.onSent, at)
+    for (const at of receivedAt ?? Array.from({ length: 20 }, (_, index) => index * 100)) setTimeout(watch.onReceived, at)
     vi.advanceTimersByTime(lengthMs)
-    watched.stop()
+    watch.stop()
     vi.advanceTimersByTime(2000)
-    expect({ kept, given }).toEqual({ kept: keptAt, given: givenUpAt })
+    expect({ keepAlives, timedOut }).toEqual({ keepAlives: keepAlivesAt, timedOut: timedOutAt })
   })
 })
--- a/packages/sessions/src/keepAliveMonitor.ts
+++ b/packages/sessions/src/keepAliveMonitor.ts
@@ -1,74 +1,77 @@
-/** How often a side of a session shows that it lives, and how long it bears silence; in ms. */
+/** Times by which one side of a session shows that it is alive, and detects that the other one is lost. */
 export interface KeepAliveTimes {
+  /** Longest time between two frames sent, in ms. */
   keepAliveMs: number
+  /** Time without a received frame after which the session times out, in ms. */
   timeoutMs: number
 }
 
-/** What sessions of a process go by. */
+/** Keep-alive times of all sessions of a process. */
 export interface KeepAliveOptions {
-  /** While orders are out. */
+  /** For sessions with orders outstanding. */
   busy: KeepAliveTimes
-  /** While there are none. */
+  /** For all other sessions. */
   idle: KeepAliveTimes
 }
 
-/** One side of a session. */
+/** One side of a session, as the monitor uses it. */
 export interface MonitoredSession {
-  /** True while orders are out on it: both sides must notice soon if the other one is lost. */
+  /** True while orders are outstanding on the session: both sides must then detect soon if the other one is lost. */
   isBusy: () => boolean
-  /** Sends a frame with nothing in it. */
+  /** Sends an empty frame. */
   sendKeepAlive: () => void
-  /** The other side has been silent for too long. */
+  /** Called when no frame arrived within the timeout; called again at each check until the session is no longer watched. */
   onTimeout: () => void
 }
 
-/** A session that is being watched. */
+/** Reports the frames of a watched session to the monitor. */
 export interface SessionWatch {
-  /** A frame left: none of its own is due for a whole interval. */
+  /** A frame was sent: the next keep-alive frame is due a whole interval later. */
   onSent: () => void
-  /** A frame arrived. */
+  /** A frame was received: the timeout starts again. */
   onReceived: () => void
+  /** Ends the watch. */
   stop: () => void
 }
 
-/** How often sessions are looked at: a frame may be so much late, or early by half of it. */
+/** How often sessions are checked, in ms: a keep-alive frame may be late by this much, or early by half of it. */
 const CHECK_INTERVAL_MS = 50
 
 interface WatchedSession {
-  member: MonitoredSession
+  session: MonitoredSession
   sentAt: number
   receivedAt: number
 }
 
 /**
- * Keeps a process's sessions alive, and gives up those whose other side has
- * fallen silent: one timer for all, as hundreds of them by themselves cost a
- * wake-up each.
+ * Sends keep-alive frames on the sessions of a process and reports those that
+ * time out. One timer serves all sessions: a timer for each would cost a process
+ * with hundreds of sessions a wake-up for each.
  */
 export class KeepAliveMonitor {
   private readonly watched = new Set<WatchedSession>()
   private timer: NodeJS.Timeout | undefined
 
   /**
-   * @param options - intervals
-   * @param now - in ms, never back
+   * @param options - intervals and timeouts
+   * @param now - monotonic clock, in ms
    */
   constructor (private readonly options: KeepAliveOptions, private readonly now: () => number = () => performance.now()) {}
 
-  /** Looks after a session until it is stopped. */
-  watch (member: MonitoredSession): SessionWatch {
-    const entry = { member, sentAt: this.now(), receivedAt: this.now() }
-    this.watched.add(entry)
+  /** Watches a session until the returned watch is stopped. */
+  watch (session: MonitoredSession): SessionWatch {
+    const watched = { session, sentAt: this.now(), receivedAt: this.now() }
+    this.watched.add(watched)
     this.timer ??= setInterval(() => this.check(), CHECK_INTERVAL_MS)
     return {
-      onSent: () => { entry.sentAt = this.now() },
-      onReceived: () => { entry.receivedAt = this.now() },
-      stop: () => this.stop(entry)
+      onSent: () => { watched.sentAt = this.now() },
+      onReceived: () => { watched.receivedAt = this.now() },
+      stop: () => this.stop(watched)
     }
   }
 
-  private stop (entry: WatchedSession): void {
-    this.watched.delete(entry)
+  private stop (watched: WatchedSession): void {
+    this.watched.delete(watched)
     if (this.watched.size > 0) return
     clearInterval(this.timer)
     this.timer = undefined
@@ -76,10 +79,10 @@
 
   private check (): void {
     const now = this.now()
-    for (const { member, sentAt, receivedAt: seenAt } of this.watched) {
-      const { keepAliveMs, timeoutMs } = member.isBusy() ? this.options.busy : this.options.idle
-      if (now - seenAt > timeoutMs) member.onTimeout()
-      else if (now - sentAt >= keepAliveMs - CHECK_INTERVAL_MS / 2) member.sendKeepAlive()
+    for (const { session, sentAt, receivedAt } of this.watched) {
+      const { keepAliveMs, timeoutMs } = session.isBusy() ? this.options.busy : this.options.idle
+      if (now - receivedAt > timeoutMs) session.onTimeout()
+      else if (now - sentAt >= keepAliveMs - CHECK_INTERVAL_MS / 2) session.sendKeepAlive()
     }
   }
 }
--- a/packages/sessions/src/knownEntries.ts
+++ b/packages/sessions/src/knownEntries.ts
@@ -1,29 +1,29 @@
 import type { EntryPlace } from '@hazellift/decisions'
 
 /**
- * Entries that an agent has heard of, by who told of them. An entry that cannot
- * reach the store, or has just started, lists fewer than there are: what any
- * source lists counts.
+ * Entries that an agent knows of, by the source that listed them. An entry that
+ * cannot reach the store, or has just started, lists fewer entries than there
+ * are, so the union of all lists is used.
  */
 export class KnownEntries {
   private readonly lists = new Map<string, readonly EntryPlace[]>()
 
-  /** True until anything was listed. */
+  /** True until a source listed anything. */
   get isEmpty (): boolean {
     return this.lists.size === 0
   }
 
-  /** A source told of the entries that it knows. */
+  /** Replaces the list of a source. */
   set (source: string, entries: readonly EntryPlace[]): void {
     this.lists.set(source, entries)
   }
 
-  /** The source is heard no more; what it told last stays if nobody else has told anything. */
+  /** Drops the list of a source that is gone, unless it is the only list. */
   forget (source: string): void {
     if (this.lists.size > 1) this.lists.delete(source)
   }
 
-  /** All of them, each once; a zone that one source knows is known. */
+  /** All listed entries, one for each address; an item with a zone replaces one without. */
   get all (): EntryPlace[] {
     const byAddress = new Map<string, EntryPlace>()
     for (const entries of this.lists.values()) {
--- a/packages/sessions/src/neighbours.test.ts
+++ b/packages/sessions/src/neighbours.test.ts
@@ -4,11 +4,11 @@
 
 const OTHERS = ['z1', 'z1', 'z2', 'z2', 'z3'].map((zone, index) => ({ address: `e${index}:1`, zone }))
 
-interface State { isWanted: boolean, outstanding: number, refusing: Set<string> }
+interface State { needsStreams: boolean, outstandingJobs: number, refusing: Set<string> }
 
 const start = (others = OTHERS) => {
   const clock = createFakeClock()
-  const state: State = { isWanted: false, outstanding: 0, refusing: new Set() }
+  const state: State = { needsStreams: false, outstandingJobs: 0, refusing: new Set() }
   const open = new Set<string>()
   let dials = 0
   const neighbours = new Neighbours({
@@ -16,8 +16,8 @@
     zone: 'z1',
     score: (address) => -Number(address[1]),
     others: () => others,
-    needsStreams: () => state.isWanted,
-    outstandingJobs: () => state.outstanding,
+    needsStreams: () => state.needsStreams,
+    outstandingJobs: () => state.outstandingJobs,
     dial: async ({ address }, signal) => {
       dials++
       if (state.refusing.has(address)) return
@@ -36,42 +36,42 @@
 }
 
 describe('streams to neighbours', () => {
-  it('none without need', async () => {
+  it('opens none while none is needed', async () => {
     const { sweep, dials } = start()
     expect(await sweep()).toEqual([])
     expect(dials()).toBe(0)
   })
 
   const cases: Array<{ name: string, others?: typeof OTHERS, refusing?: string[], expected: string[] }> = [
-    { name: 'one of the zone and two others', expected: ['e0:1', 'e2:1', 'e3:1'] },
-    { name: 'others in place of those that end at once', refusing: ['e0:1'], expected: ['e1:1', 'e2:1', 'e3:1'] },
-    { name: 'as many as there are', others: OTHERS.slice(0, 2), expected: ['e0:1', 'e1:1'] },
-    { name: 'nobody, for the only entry', others: [], expected: [] }
+    { name: 'one neighbour of the own zone and two of others', expected: ['e0:1', 'e2:1', 'e3:1'] },
+    { name: 'another neighbour in place of one whose stream ends at once', refusing: ['e0:1'], expected: ['e1:1', 'e2:1', 'e3:1'] },
+    { name: 'all neighbours where there are fewer than three', others: OTHERS.slice(0, 2), expected: ['e0:1', 'e1:1'] },
+    { name: 'none where there is no other entry', others: [], expected: [] }
   ]
-  it.each(cases)('with need: $name', async ({ others, refusing = [], expected }) => {
+  it.each(cases)('opens streams, while needed, to $name', async ({ others, refusing = [], expected }) => {
     const { state, sweep } = start(others)
-    state.isWanted = true
+    state.needsStreams = true
     for (const address of refusing) state.refusing.add(address)
     await sweep()
     expect(await sweep()).toEqual(expected)
   })
 
-  it('they end with the need, but not while work is out', async () => {
+  it('ends all streams once they are not needed and no job is outstanding', async () => {
     const { state, sweep } = start()
-    state.isWanted = true
-    state.outstanding = 1
+    state.needsStreams = true
+    state.outstandingJobs = 1
     await sweep()
-    state.isWanted = false
+    state.needsStreams = false
     expect(await sweep()).toHaveLength(3)
-    state.outstanding = 0
+    state.outstandingJobs = 0
     expect(await sweep()).toEqual([])
   })
 
-  it('one that refuses is left alone for a while', async () => {
+  it('dials a neighbour that refused again only after the delay', async () => {
     const { state, sweep, dials, clock } = start(OTHERS.slice(0, 1))
-    state.isWanted = true
+    state.needsStreams = true
     state.refusing.add('e0:1')
-    for (let look = 0; look < 10; look++) await sweep()
+    for (let count = 0; count < 10; count++) await sweep()
     expect(dials()).toBe(1)
     clock.advance(2000)
     await sweep()
--- a/packages/sessions/src/neighbours.ts
+++ b/packages/sessions/src/neighbours.ts
@@ -2,50 +2,51 @@
 import { choosePart } from '@hazellift/decisions'
 import type { EntryPlace, PartLimits } from '@hazellift/decisions'
 
-/** What the choice of neighbours needs. */
+/** Dependencies of the streams to neighbours. */
 export interface NeighboursOptions {
   clock: Clock
+  /** This entry's availability zone. */
   zone: string
-  /** Score of an entry for this one; the highest are preferred. */
+  /** Rendezvous score of another entry for this one; the highest are chosen. */
   score: (address: string) => number
-  /** All other entries that are known. */
+  /** All other known entries. */
   others: () => EntryPlace[]
-  /** True while streams are called for. */
+  /** True while this entry needs streams to hand jobs on. */
   needsStreams: () => boolean
-  /** Jobs that neighbours have. */
+  /** Number of jobs that neighbours have or may have. */
   outstandingJobs: () => number
-  /** Holds one stream until it ends. */
+  /** Runs one stream; resolves when it has ended. */
   dial: (entry: EntryPlace, signal: AbortSignal) => Promise<void>
 }
 
-/** Each costs both sides some frames a second while it stands. */
+/** Each open stream costs both sides several frames a second. */
 const LIMITS: PartLimits = { near: 1, far: 2 }
-/** A neighbour whose stream ended is left alone for so long; another one is tried meanwhile. */
+/** Delay before a neighbour whose stream ended is dialled again, in ms; another one is tried in the meantime. */
 const REDIAL_DELAY_MS = 2000
 
-/** Streams of an entry to some others, while it has work to hand on; none at other times. */
+/** Keeps streams to a few other entries open while this entry has jobs to hand on (forward to them), and none at other times. */
 export class Neighbours {
   private readonly streams = new Map<string, AbortController>()
   private readonly endedAt = new Map<string, number>()
 
   constructor (private readonly options: NeighboursOptions) {}
 
-  /** Streams that stand or are being dialled. */
+  /** Number of streams that are open or being opened. */
   get size (): number {
     return this.streams.size
   }
 
-  /** Begins what is wanted, ends what is not; to be called a few tens of times a second. */
+  /** Opens missing streams, or ends all once they are not needed and no job is outstanding; to be called a few tens of times a second. */
   sweep (): void {
-    const { needsStreams: isWanted, outstandingJobs: outstanding, others, zone, score } = this.options
-    if (!isWanted()) {
-      if (this.streams.size > 0 && outstanding() === 0) this.stop()
+    const { needsStreams, outstandingJobs, others, zone, score } = this.options
+    if (!needsStreams()) {
+      if (this.streams.size > 0 && outstandingJobs() === 0) this.stop()
       return
     }
     if (this.streams.size >= LIMITS.near + LIMITS.far) return
     const entries = others()
-    const wanted = choosePart(entries, { zone, score, isLost: (address) => this.hasEndedRecently(address) }, LIMITS)
-    for (const entry of entries) if (wanted.has(entry.address) && !this.hasEndedRecently(entry.address)) this.openStream(entry)
+    const chosen = choosePart(entries, { zone, score, isLost: (address) => this.hasEndedRecently(address) }, LIMITS)
+    for (const entry of entries) if (chosen.has(entry.address) && !this.hasEndedRecently(entry.address)) this.openStream(entry)
   }
 
   /** Ends all streams. */
