--- a/packages/coordination/src/jobs/admission.ts
+++ b/packages/coordination/src/jobs/admission.ts
@@ -125,7 +125,7 @@
       return notRun(REASONS.noEndpoint, `no endpoint serves '${spec.service}' now`, NO_ENDPOINT_RETRY_MS)
     }
     // A bound from below: even with every slot to itself the job could not end in time.
-    const ahead = service.queue.queuedOf(workspace) + spec.tasks.length
+    const ahead = service.queue.queuedTasks(workspace) + spec.tasks.length
     const leastMs = Math.ceil(ahead / slots - 1) * service.health.meanMs
     if (leastMs <= deadlineMs) return undefined
     const message = `${ahead} tasks on ${slots} slots take about ${Math.round(leastMs)} ms`
--- a/packages/coordination/src/tasks/endsElsewhere.ts
+++ b/packages/coordination/src/tasks/endsElsewhere.ts
@@ -1,7 +1,7 @@
 import { create } from '@bufbuild/protobuf'
 import { EndsElsewhereSchema } from '@hazellift/protocol'
 import type { EndsElsewhere, TaskResult } from '@hazellift/protocol'
-import { VERDICTS, judgeResult } from '../health/judgeResult.js'
+import { ENDPOINT_VERDICTS, judgeResult } from '../health/judgeResult.js'
 
 /** What one entry is still to be told of the starts of the others. */
 export class EndsTally {
@@ -10,9 +10,9 @@
   /** Counts a result that went to another entry. */
   count (result: TaskResult): void {
     const verdict = judgeResult(result)
-    if (verdict === VERDICTS.none) return
+    if (verdict === ENDPOINT_VERDICTS.none) return
     this.ends ??= create(EndsElsewhereSchema)
-    if (verdict === VERDICTS.failed) {
+    if (verdict === ENDPOINT_VERDICTS.failed) {
       this.ends.failed++
       return
     }
--- a/packages/coordination/src/tasks/taskHost.ts
+++ b/packages/coordination/src/tasks/taskHost.ts
@@ -85,7 +85,7 @@
     // A frame of a closed session may hold starts that its entry has sent elsewhere since.
     if (!this.sessions.isLatest(incarnation, add)) return
     this.sessions.onFrame(incarnation, frame)
-    if (frame.returnedCredits > 0) this.granter.returned(incarnation, frame.returnedCredits)
+    if (frame.returnedCredits > 0) this.granter.returnCredits(incarnation, frame.returnedCredits)
     for (const start of frame.starts) this.onStart(incarnation, start)
     for (const { workspace, submission, tasks } of frame.revokes) this.onRevoke(incarnation, workspace, submission, tasks)
     for (const collect of frame.collects) this.onCollect(incarnation, collect)
@@ -137,7 +137,7 @@
   /** Fills in what every frame carries. */
   fillFrame (incarnation: string, frame: AgentFrame): void {
     frame.stampMs = this.options.clock.now()
-    frame.free = this.granter.freeFor(incarnation)
+    frame.free = this.granter.freeSlotsFor(incarnation)
     const ends = this.sessions.takeEndsElsewhere(incarnation)
     if (ends !== undefined) frame.endsElsewhere = ends
   }
--- a/packages/coordination/src/tasks/taskSessions.ts
+++ b/packages/coordination/src/tasks/taskSessions.ts
@@ -1,6 +1,6 @@
 import type { Clock } from '@hazellift/common'
 import type { AgentFrame, EndsElsewhere, EntryFrame, TaskResult } from '@hazellift/protocol'
-import { VERDICTS, judgeResult } from '../health/judgeResult.js'
+import { ENDPOINT_VERDICTS, judgeResult } from '../health/judgeResult.js'
 import type { AddToFrame } from '../session/types.js'
 import { EndsTally } from './endsElsewhere.js'
 import { Mailboxes } from './mailboxes.js'
@@ -82,7 +82,7 @@
 
   /** Counts an end for the entries that it does not go to; a failure is told at once, but not too often. */
   countForOthers (recipient: string, result: TaskResult): void {
-    const isUrgent = judgeResult(result) === VERDICTS.failed && this.clock.now() - this.failureToldAt >= FAILURE_PACE_MS
+    const isUrgent = judgeResult(result) === ENDPOINT_VERDICTS.failed && this.clock.now() - this.failureToldAt >= FAILURE_PACE_MS
     if (isUrgent) this.failureToldAt = this.clock.now()
     for (const [incarnation, { add, elsewhere }] of this.sessions) {
       if (incarnation === recipient) continue
--- a/packages/entry/src/createEntryParts.ts
+++ b/packages/entry/src/createEntryParts.ts
@@ -89,8 +89,8 @@
   maxRunningOf: (workspace) => admission().maxRunningOf(workspace),
   resumeWindowMs: settings.resumeWindowMs,
   collectTimeoutMs: COLLECT_TIMEOUT_MS,
-  setAsideShare: settings.setAsideShare,
-  setAsideBackoff: createBackoff(SET_ASIDE_BACKOFF, Math.random),
+  maxEjectedShare: settings.setAsideShare,
+  ejectionBackoff: createBackoff(SET_ASIDE_BACKOFF, Math.random),
   isEvacuated: (zone) => watch().isEvacuated(zone),
   defer: queueMicrotask
 })
@@ -130,7 +130,7 @@
   const metrics = createEntryMetrics(base)
   const stores = createStores(settings, metrics)
   const { table, objects, group, configStore } = stores
-  const watch = createWatch(settings, configStore, () => dispatcher.pumpAll())
+  const watch = createWatch(settings, configStore, () => dispatcher.scheduleAll())
   const directory = new EntryDirectory({
     table,
     group,
--- a/packages/sessions/src/createSessions.ts
+++ b/packages/sessions/src/createSessions.ts
@@ -6,7 +6,7 @@
 import type { AgentLink, SessionDispatcher } from '@hazellift/coordination'
 import { EntryFrameSchema, EntryListSchema, WelcomeSchema } from '@hazellift/protocol'
 import type { AgentFrame, EntryFrame, SessionService } from '@hazellift/protocol'
-import type { EntryPlace } from '@hazellift/decisions'
+import type { EntryLocation } from '@hazellift/decisions'
 import { KeepAliveMonitor } from './keepAliveMonitor.js'
 import type { KeepAliveOptions } from './keepAliveMonitor.js'
 
@@ -21,7 +21,7 @@
   /** Keep-alive intervals and timeouts. */
   keepAlive: KeepAliveOptions
   /** Entries that agents may dial; sent to each agent. */
-  entries: () => EntryPlace[]
+  entries: () => EntryLocation[]
 }
 
 /** The open sessions of an entry with its agents. */
--- a/packages/sessions/src/entryDialer.ts
+++ b/packages/sessions/src/entryDialer.ts
@@ -1,7 +1,7 @@
 import { createBackoff, createLogger } from '@hazellift/common'
 import type { Clock, Random } from '@hazellift/common'
-import { choosePart } from '@hazellift/decisions'
-import type { EntryPlace, PartLimits } from '@hazellift/decisions'
+import { chooseSubset } from '@hazellift/decisions'
+import type { EntryLocation, SubsetLimits } from '@hazellift/decisions'
 import { KnownEntries } from './knownEntries.js'
 
 /** Ends one session for the dialer, and notifies the dialer of its events. */
@@ -13,7 +13,7 @@
   /** The entry's welcome was received. */
   onOpen: () => void
   /** The entry sent the list of entries that it knows. */
-  onEntries: (entries: EntryPlace[]) => void
+  onEntries: (entries: EntryLocation[]) => void
 }
 
 /** Dependencies and settings of the dialer. */
@@ -25,7 +25,7 @@
   /** Rendezvous score of an entry for this agent; the highest are chosen. */
   score: (address: string) => number
   /** How many entries the agent keeps sessions with. */
-  limits: PartLimits
+  limits: SubsetLimits
   /** Addresses to dial before any entry is known. */
   seeds: string[]
   /** Delay before each seed, in ms; once an entry is known, no further seed is dialled. With 0 all seeds are dialled at once. */
@@ -107,12 +107,12 @@
   }
 
   /** Adopts entries that were looked up elsewhere; they are used until an entry sends its own list. */
-  onLookedUp (entries: EntryPlace[]): void {
+  onLookedUp (entries: EntryLocation[]): void {
     this.known.set(LOOKUP_SOURCE, entries)
     this.update()
   }
 
-  private onEntries (address: string, entries: EntryPlace[]): void {
+  private onEntries (address: string, entries: EntryLocation[]): void {
     this.known.set(address, entries)
     this.known.forget(LOOKUP_SOURCE)
     this.update()
@@ -130,7 +130,7 @@
     const { zone, score, limits, clock } = this.options
     const known = this.known.all
     const listed = new Set(known.map(({ address }) => address))
-    const chosen = choosePart(known, { zone, score, isLost: (address) => this.isUnreachable(address) }, limits)
+    const chosen = chooseSubset(known, { zone, score, isUnreachable: (address) => this.isUnreachable(address) }, limits)
     for (const address of chosen) this.startDialing(address)
     for (const [address, dial] of this.dials) {
       // An entry that no source lists is a seed, or is stopping and ends the session itself once its jobs are done.
--- a/packages/sessions/src/knownEntries.ts
+++ b/packages/sessions/src/knownEntries.ts
@@ -1,4 +1,4 @@
-import type { EntryPlace } from '@hazellift/decisions'
+import type { EntryLocation } from '@hazellift/decisions'
 
 /**
  * Entries that an agent knows of, by the source that listed them. An entry that
@@ -6,7 +6,7 @@
  * are, so the union of all lists is used.
  */
 export class KnownEntries {
-  private readonly lists = new Map<string, readonly EntryPlace[]>()
+  private readonly lists = new Map<string, readonly EntryLocation[]>()
 
   /** True until a source listed anything. */
   get isEmpty (): boolean {
@@ -14,7 +14,7 @@
   }
 
   /** Replaces the list of a source. */
-  set (source: string, entries: readonly EntryPlace[]): void {
+  set (source: string, entries: readonly EntryLocation[]): void {
     this.lists.set(source, entries)
   }
 
@@ -24,8 +24,8 @@
   }
 
   /** All listed entries, one for each address; an item with a zone replaces one without. */
-  get all (): EntryPlace[] {
-    const byAddress = new Map<string, EntryPlace>()
+  get all (): EntryLocation[] {
+    const byAddress = new Map<string, EntryLocation>()
     for (const entries of this.lists.values()) {
       for (const entry of entries) {
         if (entry.zone !== '' || !byAddress.has(entry.address)) byAddress.set(entry.address, entry)
--- a/packages/sessions/src/neighbours.ts
+++ b/packages/sessions/src/neighbours.ts
@@ -1,6 +1,6 @@
 import type { Clock } from '@hazellift/common'
-import { choosePart } from '@hazellift/decisions'
-import type { EntryPlace, PartLimits } from '@hazellift/decisions'
+import { chooseSubset } from '@hazellift/decisions'
+import type { EntryLocation, SubsetLimits } from '@hazellift/decisions'
 
 /** Dependencies of the streams to neighbours. */
 export interface NeighboursOptions {
@@ -10,17 +10,17 @@
   /** Rendezvous score of another entry for this one; the highest are chosen. */
   score: (address: string) => number
   /** All other known entries. */
-  others: () => EntryPlace[]
+  others: () => EntryLocation[]
   /** True while this entry needs streams to hand jobs on. */
   needsStreams: () => boolean
   /** Number of jobs that neighbours have or may have. */
   outstandingJobs: () => number
   /** Runs one stream; resolves when it has ended. */
-  dial: (entry: EntryPlace, signal: AbortSignal) => Promise<void>
+  dial: (entry: EntryLocation, signal: AbortSignal) => Promise<void>
 }
 
 /** Each open stream costs both sides several frames a second. */
-const LIMITS: PartLimits = { near: 1, far: 2 }
+const LIMITS: SubsetLimits = { near: 1, far: 2 }
 /** Delay before a neighbour whose stream ended is dialled again, in ms; another one is tried in the meantime. */
 const REDIAL_DELAY_MS = 2000
 
@@ -45,7 +45,7 @@
     }
     if (this.streams.size >= LIMITS.near + LIMITS.far) return
     const entries = others()
-    const chosen = choosePart(entries, { zone, score, isLost: (address) => this.hasEndedRecently(address) }, LIMITS)
+    const chosen = chooseSubset(entries, { zone, score, isUnreachable: (address) => this.hasEndedRecently(address) }, LIMITS)
     for (const entry of entries) if (chosen.has(entry.address) && !this.hasEndedRecently(entry.address)) this.openStream(entry)
   }
 
@@ -54,7 +54,7 @@
     for (const stream of this.streams.values()) stream.abort()
   }
 
-  private openStream (entry: EntryPlace): void {
+  private openStream (entry: EntryLocation): void {
     const { address } = entry
     if (this.streams.has(address) || this.streams.size >= LIMITS.near + LIMITS.far) return
     const stream = new AbortController()
