--- a/packages/agent/src/startAgent.ts
+++ b/packages/agent/src/startAgent.ts
@@ -47,7 +47,7 @@
     startAgeMs: settings.startAgeMs,
     memoryMs: settings.memoryMs,
     maxAnswerSize: settings.answerMemoryBytes,
-    observe: createObserver(metrics)
+    onResult: createObserver(metrics)
   })
   metrics.gauge({ name: 'hazellift_agent_busy_tasks', help: 'Tasks that run or wait' }, (gauge) => gauge.set(host.busy))
   return { host, endpoint }
@@ -76,7 +76,7 @@
 
 const drain = async (host: TaskHost): Promise<void> => {
   // A start that is under way while this agent ends would be lost with it.
-  while (host.busy > 0 || !host.isLeft) await systemClock.sleep(DRAIN_CHECK_MS)
+  while (host.busy > 0 || !host.isLeavingKnown) await systemClock.sleep(DRAIN_CHECK_MS)
   const until = systemClock.now() + LAST_ACK_MS
   while (host.unacked > 0 && systemClock.now() < until) await systemClock.sleep(DRAIN_CHECK_MS)
 }
--- a/packages/coordination/src/tasks/endsElsewhere.ts
+++ b/packages/coordination/src/tasks/endsElsewhereCounter.ts
@@ -4,7 +4,7 @@
 import { VERDICTS, judgeResult } from '../health/judgeResult.js'
 
 /** What one entry is still to be told of the starts of the others. */
-export class EndsTally {
+export class EndsElsewhereCounter {
   private ends: EndsElsewhere | undefined
 
   /** Counts a result that went to another entry. */
--- a/packages/coordination/tests/dispatch.test.ts
+++ b/packages/coordination/tests/dispatch.test.ts
@@ -45,10 +45,10 @@
   const heard = network.session(first!, agent!)!
   while (heard.toEntry.length > 0) heard.deliverToEntry()
   while (heard.toAgent.length > 0) heard.deliverToAgent()
-  expect(agent!.host.isLeft).toBe(false)
+  expect(agent!.host.isLeavingKnown).toBe(false)
   network.settle()
   await flush()
-  expect(agent!.host.isLeft).toBe(true)
+  expect(agent!.host.isLeavingKnown).toBe(true)
   expect(network.starts).toEqual([])
   expect(second!.failed).toEqual([])
   expect(second!.dispatcher.queuedTotal).toBe(1)
--- a/packages/entry/src/createEntryParts.ts
+++ b/packages/entry/src/createEntryParts.ts
@@ -69,7 +69,7 @@
 const createDispatchEvents = (metrics: EntryMetrics, owned: () => OwnedJobs): DispatchEvents => ({
   complete: (job) => owned().complete(job),
   failed: (job, reason, message) => owned().fail(job, reason, message),
-  takenOver: (job) => owned().moved(job),
+  takenOver: (job) => owned().onMoved(job),
   started: (_job, waitedMs) => metrics.queueSeconds.observe(waitedMs / 1000),
   ended: (_job, { outcome, reason, runMs }) => {
     metrics.attempts.inc({ outcome, reason })
@@ -103,7 +103,7 @@
   claims,
   dispatcher,
   saveTimeoutMs: SAVE_TIMEOUT_MS,
-  observe: (job, { state, reason, run }) => {
+  onAnswer: (job, { state, reason, run }) => {
     metrics.jobs.inc({ state, reason })
     log('job_over', { workspace: job.workspace, job: job.id, state, reason, run, ms: Math.round(systemClock.now() - job.arrivedAt) })
   }
@@ -150,7 +150,7 @@
   const admission = new Admission({
     clock: systemClock,
     dispatcher,
-    find: (name) => watch.find(name),
+    findConfig: (name) => watch.find(name),
     entryCount: () => directory.serving.length,
     maxQueued: settings.maxQueued
   })
