--- a/packages/coordination/src/claims/claimRows.ts
+++ b/packages/coordination/src/claims/claimRows.ts
@@ -4,10 +4,10 @@
 import type { TableRow } from '@hazellift/store'
 import { submissionKey } from '../tasks/keys.js'
 
-/** Prefix of all claim rows. */
+/** Prefix of the keys of all claim rows. */
 export const CLAIM_PREFIX = 'claim/'
 
-/** A claim row with the version that the table gave it. */
+/** A submission's claim and the version of its row, which conditional writes need. */
 export interface Claim {
   record: ClaimRecord
   version: bigint
@@ -17,9 +17,9 @@
 export const claimKey = (workspace: string, submission: string): string =>
   CLAIM_PREFIX + submissionKey(workspace, submission)
 
-/** The claim in a row. */
+/** Decodes the claim in a row. */
 export const decodeClaim = (row: TableRow): Claim =>
   ({ record: fromBinary(ClaimRecordSchema, row.value), version: row.version })
 
-/** The bytes of a claim row. */
+/** Encodes a claim as the value of its row. */
 export const encodeClaim = (record: ClaimRecord): Uint8Array => toBinary(ClaimRecordSchema, record)
--- a/packages/coordination/src/claims/claimStore.ts
+++ b/packages/coordination/src/claims/claimStore.ts
@@ -8,7 +8,7 @@
 import type { Claim } from './claimRows.js'
 import { GroupRead } from './groupRead.js'
 
-/** What a claim says about its submission. */
+/** What a claim records about its submission, whoever owns it. */
 export interface SubmissionDetails {
   workspace: string
   submission: string
@@ -19,25 +19,25 @@
   deadlineMs: number
 }
 
-/** Outcome of an attempt to own a submission. */
+/** Outcome of an attempt to become the owner of a submission. */
 export type ClaimOutcome =
   | { type: 'owned', claim: Claim }
-  /** Somebody else's row stands. */
+  /** The row holds another claim. */
   | { type: 'existing', claim: Claim }
   /**
-   * The table did not answer in time; under this nonce nothing was or will be started.
-   * `certain` tells that the write never takes effect either.
+   * The table did not answer in time. Nothing was or will be started under this nonce.
+   * `certain` is true if the write is also known never to take effect.
    */
   | { type: 'unavailable', nonce: string, certain: boolean, message: string }
 
 /** Outcome of writing a final answer. */
 export type FinishOutcome =
   | { type: 'committed' }
-  /** Another entry took the claim over; its answer counts. */
+  /** Another entry has taken the claim over; its answer is the valid one. */
   | { type: 'lost' }
   | { type: 'unavailable', message: string }
 
-/** What claims need. */
+/** Dependencies and settings of a claim store. */
 export interface ClaimStoreOptions {
   table: TableService
   objects: ObjectStore
@@ -46,15 +46,15 @@
   entryId: string
   incarnation: string
   newNonce: () => string
-  /** Largest answer kept in the row, in bytes. */
+  /** Largest encoded answer stored in the row, in bytes; a larger one is stored as an object. */
   rowAnswerBytes: number
 }
 
 /**
- * Claims of submissions in the table service.
+ * Reads and writes the claims of submissions in the table service.
  *
- * Invariant: for a key, the row names one owner; only the entry whose write of
- * its own nonce is known to stand may start tasks.
+ * Invariant: the row of a submission names one owner. Only an entry that knows
+ * its own nonce to be committed in the row may start tasks.
  */
 export class ClaimStore {
   private readonly reads: GroupRead
@@ -63,21 +63,33 @@
     this.reads = new GroupRead(options.table)
   }
 
-  /** Inserts the claim of a submission if there is none. */
+  /**
+   * Inserts the claim of a submission if there is none.
+   *
+   * @param deadline - when to stop trying, on the monotonic clock
+   */
   async claim (details: SubmissionDetails, deadline: number): Promise<ClaimOutcome> {
     const { clock } = this.options
     const record = create(ClaimRecordSchema, { ...details, ...this.ownership(), createdMs: clock.wallNow() })
     return this.write(record, 0n, deadline)
   }
 
-  /** Makes this entry the owner in place of the one that the claim names. */
+  /**
+   * Makes this entry the owner in place of the one that the claim names.
+   *
+   * @param deadline - when to stop trying, on the monotonic clock
+   */
   async takeOver ({ record, version }: Claim, deadline: number): Promise<ClaimOutcome> {
     const next = clone(ClaimRecordSchema, record)
     Object.assign(next, this.ownership(), { generation: record.generation + 1 })
     return this.write(next, version, deadline)
   }
 
-  /** Writes the final answer, if this entry still owns the claim. */
+  /**
+   * Writes the final answer if this entry still owns the claim.
+   *
+   * @param deadline - when to stop trying, on the monotonic clock
+   */
   async finish (claim: Claim, answer: JobAnswer, deadline: number): Promise<FinishOutcome> {
     const record = clone(ClaimRecordSchema, claim.record)
     const stored = await this.storeAnswer(record, answer)
@@ -97,17 +109,22 @@
     return ok(res.value === undefined ? undefined : decodeClaim(res.value))
   }
 
-  /** The final answer that a claim holds or names; `undefined` if it has none. */
+  /** The final answer in a claim or in the object that the claim names; `undefined` if there is none yet. */
   async answerOf ({ record }: Claim): Promise<Result<JobAnswer | undefined, StoreFault>> {
     if (record.answer !== undefined) return ok(record.answer)
     if (record.answerObject === '') return ok(undefined)
     const res = await this.options.objects.get(record.answerObject)
     if (!res.ok) return res
-    if (res.value === undefined) return fail({ type: 'unknown', message: `answer object ${record.answerObject} is missing` })
+    if (res.value === undefined) return fail({ type: 'unknown', message: `answer object ${record.answerObject}, which a claim names, is not in the object store` })
     return ok(fromBinary(JobAnswerSchema, res.value))
   }
 
-  /** Removes a claim whose time is over, and its object. */
+  /**
+   * Removes an expired claim and its answer object.
+   *
+   * @param deadline - when to stop trying, on the monotonic clock
+   * @returns false if the row changed meanwhile or the table did not answer in time
+   */
   async remove ({ record, version }: Claim, deadline: number): Promise<boolean> {
     const key = claimKey(record.workspace, record.submission)
     const outcome = await this.options.group.commit({ key, ifVersion: version, value: undefined }, deadline)
@@ -116,7 +133,12 @@
     return true
   }
 
-  /** One page of all claims, in key order. */
+  /**
+   * Reads one page of all claims, in key order.
+   *
+   * @param after - key of the last row of the previous page
+   * @returns the claims, and the key of the last row; an empty key if there is no row
+   */
   async scan (after: string, limit: number): Promise<Result<{ claims: Claim[], last: string }, StoreFault>> {
     const res = await this.options.table.scan(CLAIM_PREFIX, after, limit)
     if (!res.ok) return res
@@ -137,10 +159,10 @@
     }
   }
 
-  /** A takeover of a row that expired meanwhile finds no row at all. */
+  /** A takeover finds no row if the claim expired and was removed meanwhile. */
   private onConflict (isGone: boolean, record: ClaimRecord, decodeExisting: () => Claim): ClaimOutcome {
     return isGone
-      ? { type: 'unavailable', nonce: record.nonce, certain: true, message: 'the claim expired' }
+      ? { type: 'unavailable', nonce: record.nonce, certain: true, message: 'the claim expired before it was taken over' }
       : { type: 'existing', claim: decodeExisting() }
   }
 
--- a/packages/coordination/src/claims/groupRead.ts
+++ b/packages/coordination/src/claims/groupRead.ts
@@ -10,8 +10,9 @@
 const MAX_KEYS_PER_READ = 500
 
 /**
- * Reads rows with one call in flight that carries all keys waiting, so that
- * reads a second do not grow with the rate of requests.
+ * Reads rows in batches. One call is in flight at a time and the next one
+ * carries all keys that wait, so that the rate of calls to the table does not
+ * grow with the rate of requests.
  */
 export class GroupRead {
   private queue: PendingRead[] = []
@@ -22,7 +23,7 @@
   /** Reads one row; `undefined` if there is none. */
   read (key: string): Promise<Result<TableRow | undefined, StoreFault>> {
     return new Promise((resolve) => {
-      this.queue.push({ key, resolve: resolve })
+      this.queue.push({ key, resolve })
       if (!this.running) void this.run()
     })
   }
@@ -32,7 +33,7 @@
     while (this.queue.length > 0) {
       const batch = this.queue.splice(0, MAX_KEYS_PER_READ)
       const res = await this.table.read([...new Set(batch.map(({ key }) => key))])
-      for (const { key, resolve: settle } of batch) settle(res.ok ? ok(res.value.find((row) => row.key === key)) : res)
+      for (const { key, resolve } of batch) resolve(res.ok ? ok(res.value.find((row) => row.key === key)) : res)
     }
     this.running = false
   }
--- a/packages/coordination/src/jobs/admission.ts
+++ b/packages/coordination/src/jobs/admission.ts
@@ -9,24 +9,25 @@
 import { refuse } from './replies.js'
 import type { Refusal } from './replies.js'
 
-/** What admission needs. */
+/** Dependencies and settings of admission. */
 export interface AdmissionOptions {
   clock: Clock
   dispatcher: Pick<Dispatcher, 'service' | 'queuedTasks' | 'queuedTotal' | 'runningTasks'>
   findConfig: (workspace: string) => WorkspaceConfig | undefined
-  /** Entries that share each limit. */
+  /** Number of entries that share the limits of a workspace. */
   entryCount: () => number
+  /** Most tasks of all workspaces that may be queued at this entry. */
   maxQueued: number
 }
 
-/** Limits in force for a workspace at this entry; 0 is none. */
+/** Limits of a workspace over all entries, by its record and its latest policy decision; 0 means no limit. */
 interface WorkspaceLimits {
   running: number
   queued: number
   rate: number
 }
 
-/** A submission that may run, with what its policy decided. */
+/** Outcome for a submission that may run, with the decision of its policy. */
 export interface Admitted {
   type: 'admitted'
   decision: PolicyDecision
@@ -35,36 +36,41 @@
 const QUEUE_RETRY_MS = 1000
 const NO_ENDPOINT_RETRY_MS = 2000
 
-/** The lower of two limits where 0 is none. */
+/** The lower of two limits, of which 0 means no limit. */
 const lowerLimit = (a: number, b: number): number => a === 0 || b === 0 ? Math.max(a, b) : Math.min(a, b)
 
 const refuseNotRun = (reason: Reason, message: string, retryAfterMs = 0): Refusal =>
   refuse(reason, message, RUN_STATES.notRun, retryAfterMs)
 
 /**
- * Decides whether a submission may run, by its workspace's policy and limits
- * and by what this entry can carry.
+ * Decides whether a submission may run: by the policy and the limits of its
+ * workspace, the slots of its service and the length of this entry's queue.
  */
 export class Admission {
   private readonly limits = new Map<string, WorkspaceLimits>()
   private readonly buckets = new Map<string, TokenBucket>()
+  /** Tasks whose claim is being written, by workspace. */
   private readonly reserved = new Map<string, number>()
 
   constructor (private readonly options: AdmissionOptions) {}
 
-  /** Most tasks of a workspace that may run from this entry at once. */
+  /** Most tasks of a workspace that may run from this entry at once; `Infinity` if there is no limit. */
   maxRunningOf (workspace: string): number {
     const configured = this.options.findConfig(workspace)?.record.maxRunning ?? 0
     const limit = lowerLimit(configured, this.limits.get(workspace)?.running ?? 0)
     return limit === 0 ? Infinity : this.shareOfThisEntry(limit)
   }
 
-  /** Share of a workspace against the others. */
+  /** Weight of a workspace relative to the others in the fair queue. */
   weightOf (workspace: string): number {
     return this.options.findConfig(workspace)?.record.weight || 1
   }
 
-  /** Decides about a submission. */
+  /**
+   * Decides whether a submission may run; its tasks count towards the rate limit if it may.
+   *
+   * @param deadlineMs - time from now until the job must have finished
+   */
   check (config: WorkspaceConfig, spec: JobSpec, deadlineMs: number): Admitted | Refusal {
     const workspace = config.record.name
     const decision = this.decide(config, spec, deadlineMs)
@@ -77,7 +83,11 @@
       { type: 'admitted', decision }
   }
 
-  /** Counts tasks as queued while their claim is being written; the result ends that. */
+  /**
+   * Counts tasks as queued while their claim is being written.
+   *
+   * @returns a function that ends the reservation
+   */
   reserve (workspace: string, tasks: number): () => void {
     this.reserved.set(workspace, this.reservedOf(workspace) + tasks)
     return () => {
@@ -88,7 +98,7 @@
   }
 
   private decide (config: WorkspaceConfig, spec: JobSpec, deadlineMs: number): PolicyDecision | Refusal {
-    if (config.compiled === undefined) return refuseNotRun(REASONS.policyFailed, 'the workspace\'s policy does not compile here')
+    if (config.compiled === undefined) return refuseNotRun(REASONS.policyFailed, 'the workspace\'s policy does not compile at this entry')
     const { dispatcher } = this.options
     const workspace = config.record.name
     const usage = {
@@ -124,11 +134,11 @@
     if (service === undefined || slots === 0) {
       return refuseNotRun(REASONS.noEndpoint, `no endpoint serves '${spec.service}' now`, NO_ENDPOINT_RETRY_MS)
     }
-    // A bound from below: even with every slot to itself the job could not end in time.
+    // A lower bound: the time that the workspace's tasks take if they have every slot to themselves.
     const queuedTasks = service.queue.queuedOf(workspace) + spec.tasks.length
     const minMs = Math.ceil(queuedTasks / slots - 1) * service.health.meanMs
     if (minMs <= deadlineMs) return undefined
-    const message = `${queuedTasks} tasks on ${slots} slots take about ${Math.round(minMs)} ms`
+    const message = `${queuedTasks} tasks of the workspace on ${slots} slots take about ${Math.round(minMs)} ms, longer than the deadline allows`
     return refuseNotRun(REASONS.deadlineUnreachable, message, Math.round(minMs - deadlineMs))
   }
 
@@ -140,13 +150,13 @@
     const limit = this.limits.get(workspace)?.queued ?? 0
     const queued = dispatcher.queuedTasks(workspace) + this.reservedOf(workspace) + tasks
     if (limit === 0 || queued <= this.shareOfThisEntry(limit)) return undefined
-    return refuseNotRun(REASONS.workspaceQueueFull, 'the workspace has too many tasks queued', QUEUE_RETRY_MS)
+    return refuseNotRun(REASONS.workspaceQueueFull, 'the workspace has too many tasks queued at this entry', QUEUE_RETRY_MS)
   }
 
   private checkRate (workspace: string, tasks: number): Refusal | undefined {
     const bucket = this.buckets.get(workspace)!
     const waitMs = bucket.waitMs()
-    if (waitMs > 0) return refuseNotRun(REASONS.workspaceRate, 'the workspace submits too fast', waitMs)
+    if (waitMs > 0) return refuseNotRun(REASONS.workspaceRate, 'the workspace submits tasks faster than its rate limit', waitMs)
     bucket.take(tasks)
     return undefined
   }
@@ -155,7 +165,7 @@
     return this.reserved.get(workspace) ?? 0
   }
 
-  /** Part of a workspace's limit that this entry may use. */
+  /** Part of a workspace's limit that this entry may use, at least 1. */
   private shareOfThisEntry (limit: number): number {
     return Math.max(1, Math.ceil(limit / this.options.entryCount()))
   }
--- a/packages/coordination/src/jobs/answerWindow.ts
+++ b/packages/coordination/src/jobs/answerWindow.ts
@@ -1,6 +1,6 @@
 import type { JobAnswer } from '@hazellift/protocol'
 
-/** A finished job as it is remembered. */
+/** The final answer of a job, with the body hash and the nonce of its claim. */
 export interface RememberedAnswer {
   answer: JobAnswer
   bodyHash: Uint8Array
@@ -12,20 +12,23 @@
   bytes: number
 }
 
-/** Bounds of the window. */
+/** Clock and bounds of an answer window. */
 export interface AnswerWindowOptions {
+  /** Monotonic time, in ms. */
   now: () => number
+  /** How long an answer is remembered, in ms. */
   maxMs: number
+  /** Approximate size of all answers above which the oldest are dropped early. */
   maxBytes: number
 }
 
-/** Cost of an entry beside its results, about. */
+/** Approximate size of a remembered answer without its results. */
 const ANSWER_OVERHEAD_BYTES = 512
 
 const sizeOf = ({ results }: JobAnswer): number =>
   results.reduce((sum, result) => sum + result.length, ANSWER_OVERHEAD_BYTES)
 
-/** Final answers of the last while, bounded in time and bytes; the oldest go first. */
+/** Remembers recent final answers by submission key, bounded in age and total size. The oldest are dropped first. */
 export class AnswerWindow {
   private readonly answers = new Map<string, StoredAnswer>()
   private bytes = 0
@@ -33,12 +36,12 @@
 
   constructor (private readonly options: AnswerWindowOptions) {}
 
-  /** True if every answer younger than `maxMs` is here. */
+  /** True if every answer younger than `maxMs` is remembered. */
   get isWhole (): boolean {
     return this.options.now() - this.droppedEarlyAt > this.options.maxMs
   }
 
-  /** Remembers an answer. */
+  /** Remembers the answer of a job in place of an earlier one. */
   add (key: string, remembered: RememberedAnswer): void {
     this.delete(key)
     const bytes = sizeOf(remembered.answer)
@@ -52,12 +55,12 @@
     return this.answers.get(key)
   }
 
-  /** Forgets what is too old or too much. */
+  /** Drops answers that are too old, and the oldest ones while the total size is too large. */
   trim (): void {
     const oldestAt = this.options.now() - this.options.maxMs
-    for (const [key, { addedAt: at }] of this.answers) {
-      if (at >= oldestAt && this.bytes <= this.options.maxBytes) return
-      if (at >= oldestAt) this.droppedEarlyAt = this.options.now()
+    for (const [key, { addedAt }] of this.answers) {
+      if (addedAt >= oldestAt && this.bytes <= this.options.maxBytes) return
+      if (addedAt >= oldestAt) this.droppedEarlyAt = this.options.now()
       this.delete(key)
     }
   }
--- a/packages/coordination/src/jobs/bodyHash.ts
+++ b/packages/coordination/src/jobs/bodyHash.ts
@@ -2,8 +2,9 @@
 import type { JobSpec } from '@hazellift/protocol'
 
 /**
- * Hash of what makes two submissions of one id the same. The deadline is left
- * out, as a resubmission has less time left, and so is whether it is one.
+ * Hashes the fields by which two submissions under one id count as the same.
+ * The deadline is left out because a resubmission has less time remaining, and
+ * so is the flag that tells a resubmission from a first attempt.
  *
  * @param spec - the submission
  * @returns SHA-256
@@ -14,5 +15,5 @@
   return createHash('sha256').update(JSON.stringify(hashedFields)).digest()
 }
 
-/** True if both hashes are of the same body. */
+/** True if two hashes of `bodyHash` are equal. */
 export const isSameBody = (a: Uint8Array, b: Uint8Array): boolean => Buffer.compare(a, b) === 0
--- a/packages/coordination/src/jobs/claimFollower.ts
+++ b/packages/coordination/src/jobs/claimFollower.ts
@@ -9,19 +9,19 @@
 import { refuse, refuseConflict } from './replies.js'
 import type { JobReply } from './replies.js'
 
-/** What to do about a claim that this entry does not wait for in memory. */
+/** What the job service has to do next about a claim that was followed. */
 export type FollowOutcome =
   | { type: 'reply', reply: JobReply }
-  /** The claim is this entry's and its job is open here. */
+  /** This entry owns the claim and knows the job: it is open here, or its answer is remembered. */
   | { type: 'local' }
-  /** Nothing was or will be started under the claim: it may be taken over and run. */
+  /** Nothing was or will be started under the claim, so it may be taken over and its job run. */
   | { type: 'released', claim: Claim }
-  /** The owner is lost: the claim must be taken over and its results collected. */
+  /** The owner is lost, so the claim must be taken over and the results collected from agents. */
   | { type: 'lost', claim: Claim }
-  /** The row is gone. */
+  /** The claim row no longer exists. */
   | { type: 'absent' }
 
-/** What attaching needs. */
+/** Dependencies and settings of a claim follower. */
 export interface ClaimFollowerOptions {
   clock: Clock
   claims: Pick<ClaimStore, 'read' | 'answerOf'>
@@ -29,12 +29,13 @@
   peers: PeerCalls
   entryId: string
   incarnation: string
-  /** What this entry itself says of a claim of its own. */
+  /** State of a claim whose owner is this incarnation of this entry. */
   ownClaimState: (claim: Claim) => 'local' | 'released' | 'lost'
+  /** Time after which the row of an entry that does not renew it is stale. */
   staleAfterMs: number
 }
 
-/** Short, so that a frozen owner is noticed while its row goes stale. */
+/** Longest wait of one call to the owner; short, so that a frozen owner is noticed while its row becomes stale. */
 const PEER_WAIT_MS = 2000
 const UNREACHABLE_RETRY_MS = 200
 
@@ -43,15 +44,15 @@
   reply: refuse(REASONS.ownerUnreachable, message, RUN_STATES.mayHaveRun, retryAfterMs)
 })
 
-/** Follows a claim to its owner and waits there for the answer. */
+/** Follows a claim to the entry that owns it and waits there for the answer. */
 export class ClaimFollower {
   constructor (private readonly options: ClaimFollowerOptions) {}
 
   /**
-   * Follows a claim until there is an answer, the time is over, or this entry has to act.
+   * Follows a claim until there is an answer, the wait ends, or this entry has to act.
    *
-   * @param hash - body of this submission, `undefined` for a question about any
-   * @param until - on the clock given
+   * @param hash - hash of the body submitted, `undefined` if any body is accepted
+   * @param until - when to stop waiting, on the monotonic clock
    */
   async follow (claim: Claim, hash: Uint8Array | undefined, until: number): Promise<FollowOutcome> {
     if (hash !== undefined && !isSameBody(claim.record.bodyHash, hash)) return { type: 'reply', reply: refuseConflict() }
@@ -61,7 +62,7 @@
       if (step !== undefined) return step
       const { workspace, submission } = claim.record
       const res = await this.options.claims.read(workspace, submission)
-      if (!res.ok) return ownerUnreachable(`the table does not answer: ${res.err.message}`, this.options.staleAfterMs)
+      if (!res.ok) return ownerUnreachable(`the claim cannot be read from the table service: ${res.err.message}`, this.options.staleAfterMs)
       if (res.value === undefined) return { type: 'absent' }
       current = res.value
     }
@@ -69,7 +70,7 @@
 
   private async step (claim: Claim, until: number): Promise<FollowOutcome | undefined> {
     const stored = await this.options.claims.answerOf(claim)
-    if (!stored.ok) return ownerUnreachable(`the answer cannot be read: ${stored.err.message}`, this.options.staleAfterMs)
+    if (!stored.ok) return ownerUnreachable(`the answer that the claim names cannot be read: ${stored.err.message}`, this.options.staleAfterMs)
     if (stored.value !== undefined) return { type: 'reply', reply: { type: 'answer', answer: stored.value } }
     const { ownerEntry, ownerIncarnation } = claim.record
     if (ownerIncarnation === this.options.incarnation) return this.ownStep(claim)
@@ -87,7 +88,7 @@
     const { directory } = this.options
     const known = directory.find(entryId, incarnation)
     if (known !== undefined) return known
-    // A claim may be younger than the last look at the directory.
+    // The claim may be newer than the last read of the directory, and its owner too.
     await directory.refresh()
     return directory.find(entryId, incarnation)
   }
@@ -112,7 +113,7 @@
     const { clock, directory, staleAfterMs } = this.options
     const { ownerEntry, ownerIncarnation } = claim.record
     if (directory.isStale(ownerEntry, ownerIncarnation)) return { type: 'lost', claim }
-    if (clock.now() >= until) return ownerUnreachable(`entry ${ownerEntry} does not answer`, staleAfterMs)
+    if (clock.now() >= until) return ownerUnreachable(`entry ${ownerEntry}, which owns the job, does not answer`, staleAfterMs)
     await clock.sleep(UNREACHABLE_RETRY_MS)
     return undefined
   }
--- a/packages/coordination/src/jobs/job.ts
+++ b/packages/coordination/src/jobs/job.ts
@@ -1,13 +1,13 @@
 import type { JobAnswer } from '@hazellift/protocol'
 import { submissionKey } from '../tasks/keys.js'
 
-/** Where a task of a job stands at the entry that owns the job. */
+/** States of a task at the entry that owns its job. */
 export const TASK_STATES = {
   queued: 'queued',
-  /** Sent to an agent; whether it was accepted is not known yet. */
+  /** Sent to an agent; it is not known yet whether the agent accepted it. */
   sent: 'sent',
   done: 'done',
-  /** Of a job taken over: whether it was ever started is not known. */
+  /** Of a job that was taken over: it is not known whether the task was ever started. */
   unknown: 'unknown'
 } as const
 
@@ -15,16 +15,17 @@
 export interface JobTask {
   state: typeof TASK_STATES[keyof typeof TASK_STATES]
   payload: string
-  /** The endpoint's answer once done. */
+  /** The endpoint's answer, once the task is done. */
   result?: string
-  /** Agent that it was sent to last. */
+  /** Agent to which the task was last sent. */
   agentId?: string
-  /** Attempts that ended in a failure. */
+  /** Number of failed attempts. */
   failures: number
+  /** On the entry's monotonic clock, in ms. */
   queuedAt: number
 }
 
-/** What a job is made from. */
+/** What a job is created from: the submission and the decision of its policy. */
 export interface JobOptions {
   workspace: string
   id: string
@@ -33,34 +34,35 @@
   unrepeatable: boolean
   /** Higher goes first within the workspace. */
   priority: number
-  /** How often a task may be tried again after a failed attempt. */
+  /** How often a task may be retried after a failed attempt. */
   retries: number
   leaseMs: number
-  /** On the entry's monotonic clock. */
+  /** On the entry's monotonic clock, in ms. */
   arrivedAt: number
+  /** On the entry's monotonic clock, in ms. */
   deadlineAt: number
 }
 
-/** A claimed job at the entry that owns it. */
+/** A claimed job in the memory of the entry that owns it. */
 export interface Job extends Omit<JobOptions, 'payloads'> {
   key: string
   tasks: JobTask[]
-  /** Tasks that wait to be sent; the next one is last. */
+  /** Indexes of the tasks that wait to be sent; the next one is last. */
   queue: number[]
   doneCount: number
-  /** Starts sent and not proved void: these tasks ran, run or may run. */
+  /** Number of starts that were sent and may have run: all but those known never to have begun. */
   mayHaveRun: number
   /** True once a task is known to have run. */
   hasRun: boolean
-  /** Agents that were asked what they know, while the job is being taken over. */
+  /** Agents whose knowledge of the job was requested, while the job is being taken over. */
   collecting?: Set<string>
   answer?: JobAnswer
 }
 
 /**
- * A job with all its tasks queued.
+ * Creates a job with all its tasks queued.
  *
- * @param options - the submission and the policy's decision
+ * @param options - the submission and the decision of its policy
  */
 export const createJob = ({ payloads, ...options }: JobOptions): Job => ({
   ...options,
@@ -73,9 +75,10 @@
 })
 
 /**
- * A job taken over from a lost owner: nothing is queued, and nothing ever will be.
+ * Creates a job that was taken over from a lost owner. Its tasks are never
+ * queued, as they may have run; only their results are collected.
  *
- * @param options - from the claim row
+ * @param options - what the claim row records of the job
  * @param taskCount - number of tasks
  */
 export const createCollectedJob = (options: Omit<JobOptions, 'payloads'>, taskCount: number): Job => {
@@ -86,5 +89,5 @@
   return job
 }
 
-/** True once the final answer is known. */
+/** True once the job has its final answer. */
 export const isFinished = ({ answer }: Job): boolean => answer !== undefined
--- a/packages/coordination/src/jobs/jobService.ts
+++ b/packages/coordination/src/jobs/jobService.ts
@@ -18,7 +18,7 @@
 import { refuse, refuseConflict } from './replies.js'
 import type { JobReply, Refusal } from './replies.js'
 
-/** What the service needs. */
+/** Dependencies and settings of the job service. */
 export interface JobServiceOptions {
   clock: Clock
   claims: ClaimStore
@@ -28,35 +28,45 @@
   peers: PeerCalls
   entryId: string
   incarnation: string
+  /** Longest wait for the table to write a claim. */
   claimTimeoutMs: number
+  /** Deadline of a submission that sets none. */
   defaultDeadlineMs: number
+  /** Longest run of a task at an agent. */
   leaseMs: number
+  /** Time after which the row of an entry that does not renew it is stale. */
   staleAfterMs: number
+  /** How long every entry remembers final answers. */
   answerWindowMs: number
-  /** Told how each claim ended: owned, existing, unavailable, taken_over. */
+  /** Called with the outcome of each claim: owned, existing, unavailable or taken_over. */
   observeClaim: (outcome: string) => void
-  /** False while the table is known to be away. */
+  /** False while the table service is known not to answer. */
   isStoreUp: () => boolean
-  /** False until every other entry knows of this one. */
+  /** False until every other entry knows this one. */
   mayClaim: () => boolean
 }
 
 const UNSAVED_RETRY_MS = 1000
-/** Part of the stale time up to which a read counts as fresh; entries announce themselves for all of it. */
+/**
+ * Share of `staleAfterMs` up to which a read of the entries counts as fresh. It
+ * is below 1 because an entry that some others don't know yet claims nothing
+ * until its row has stood for `staleAfterMs`: a fresh read includes every entry
+ * that may claim.
+ */
 const FRESH_READ_SHARE = 0.75
 
 const unsavedReply: JobReply = refuse(REASONS.answerUnsaved,
-  'the job is over, but its final state is not saved yet; ask again', RUN_STATES.mayHaveRun, UNSAVED_RETRY_MS)
+  'the job has finished, but its final state is not saved yet; ask again', RUN_STATES.mayHaveRun, UNSAVED_RETRY_MS)
 
 /**
- * Submissions, questions and cancellations of jobs, wherever their owner is.
+ * Submits, finds and cancels jobs for callers, whichever entry owns the jobs.
  */
 export class JobService {
-  /** What this entry tells others of its jobs. */
+  /** Answers the questions of other entries about this entry's jobs. */
   readonly peerAnswers: PeerAnswers
   private readonly claimFollower: ClaimFollower
   private readonly outageLookup: OutageLookup
-  /** Submissions whose claim is being written here. */
+  /** Claims that are being written at this entry, by submission key. */
   private readonly claiming = new Map<string, Promise<unknown>>()
   private readonly starter: JobStarter
   private stopping = false
@@ -78,7 +88,7 @@
     })
   }
 
-  /** Claims being written and jobs not over. */
+  /** Number of claims being written and of jobs whose final state is not reached or not saved. */
   get size (): number {
     return this.claiming.size + this.options.owned.size
   }
@@ -89,7 +99,7 @@
   }
 
   /**
-   * Submits a job, or attaches to it if it was submitted before.
+   * Submits a job, or waits for it if it was submitted before.
    *
    * @param waitMs - how long to wait for the answer
    */
@@ -111,7 +121,11 @@
     return this.attach(outcome.claim, hash, until, job)
   }
 
-  /** Asks for a job that was submitted before. */
+  /**
+   * Waits for the answer of a job that was submitted before.
+   *
+   * @param waitMs - how long to wait for the answer
+   */
   async ask (workspace: string, id: string, waitMs: number): Promise<JobReply> {
     const key = submissionKey(workspace, id)
     const until = this.options.clock.now() + waitMs
@@ -124,7 +138,7 @@
     return this.attach(claim.value, undefined, until)
   }
 
-  /** Cancels a job. The reply is its final answer, which may be another one if it was over before. */
+  /** Cancels a job. The reply is its final answer, which is another one if the job had finished before. */
   async cancel (workspace: string, id: string): Promise<JobReply> {
     const key = submissionKey(workspace, id)
     await this.claiming.get(key)
@@ -141,7 +155,7 @@
 
   private admit (config: WorkspaceConfig, spec: JobSpec, deadlineMs: number): ReturnType<Admission['check']> {
     if (this.stopping) return refuse(REASONS.stopping, 'this entry is stopping', RUN_STATES.notRun, STORE_RETRY_MS)
-    if (!this.options.mayClaim()) return refuse(REASONS.notReady, 'this entry is not known to the others yet', RUN_STATES.notRun, STORE_RETRY_MS)
+    if (!this.options.mayClaim()) return refuse(REASONS.notReady, 'this entry is not known to all other entries yet', RUN_STATES.notRun, STORE_RETRY_MS)
     if (!this.options.isStoreUp()) return refuse(REASONS.storeDown, 'the table service does not answer', RUN_STATES.notRun, STORE_RETRY_MS)
     return this.options.admission.check(config, spec, deadlineMs)
   }
@@ -164,7 +178,7 @@
     }
   }
 
-  /** The reply that this entry's memory gives, if it knows the job. */
+  /** Replies from this entry's memory; `undefined` if it does not know the job. */
   private async replyFromMemory (key: string, hash: Uint8Array | undefined, until: number): Promise<JobReply | undefined> {
     const known = this.options.owned.claimOf(key)?.record ?? this.options.owned.answerOf(key)
     return known === undefined ? undefined : this.waitForOwnJob(key, hash, until)
@@ -193,7 +207,12 @@
     return this.attach(claim.value, undefined, until)
   }
 
-  /** Follows a claim; takes it over where its owner is lost, or has released it. */
+  /**
+   * Follows a claim, and takes it over if its owner is lost or has released it.
+   *
+   * @param hash - hash of the body submitted, `undefined` if any body is accepted
+   * @param admitted - the submission, if this entry may run it
+   */
   private async attach (claim: Claim, hash: Uint8Array | undefined, until: number, admitted?: AdmittedJob): Promise<JobReply> {
     const step = await this.claimFollower.follow(claim, hash, until)
     const key = submissionKey(claim.record.workspace, claim.record.submission)
@@ -211,7 +230,7 @@
   private async takeOver (claim: Claim, hash: Uint8Array | undefined, until: number, admitted: AdmittedJob | undefined): Promise<JobReply> {
     const { workspace, submission } = claim.record
     const key = submissionKey(workspace, submission)
-    // Another request here may have begun the same takeover.
+    // Another request at this entry may be taking the same claim over.
     const inProgress = this.claiming.get(key)
     if (inProgress !== undefined) {
       await inProgress
@@ -224,7 +243,11 @@
     return this.attach(outcome.claim, hash, until, admitted)
   }
 
-  /** A refusal may say "not run" only of a submission that nobody has claimed. */
+  /**
+   * Replies with a refusal unless the submission is claimed: a claimed one may
+   * have run, so the claim is followed instead. If the claim cannot be read, a
+   * resubmission is looked up at the other entries first.
+   */
   private async refuseUnlessClaimed (workspace: string, { id, firstAttempt }: JobSpec, hash: Uint8Array, until: number, refusal: Refusal): Promise<JobReply> {
     const claim = this.options.isStoreUp() ? await this.options.claims.read(workspace, id) : undefined
     if (claim?.ok === true && claim.value !== undefined && !this.starter.isReleased(claim.value.record.nonce)) {
--- a/packages/coordination/src/jobs/jobStarter.ts
+++ b/packages/coordination/src/jobs/jobStarter.ts
@@ -10,48 +10,54 @@
 import { refuse } from './replies.js'
 import type { Refusal } from './replies.js'
 
-/** A submission that its policy has admitted. */
+/** A submission that was admitted, with the decision of its policy. */
 export interface AdmittedJob {
   workspace: string
   spec: JobSpec
+  /** Hash of the body submitted. */
   hash: Uint8Array
   decision: PolicyDecision
   deadlineMs: number
 }
 
-/** What became of an attempt to own a submission and to begin its job. */
+/** Outcome of an attempt to own a submission and to open its job. */
 export type BeginOutcome =
   /** The job is open at this entry. */
   | { type: 'local' }
-  /** Somebody else owns it. */
+  /** The submission has another claim. */
   | { type: 'existing', claim: Claim }
   | Refusal
 
-/** What the starter needs. */
+/** Dependencies and settings of a job starter. */
 export interface JobStarterOptions {
   clock: Clock
   claims: Pick<ClaimStore, 'claim' | 'takeOver'>
   owned: Pick<OwnedJobs, 'start' | 'collect'>
+  /** Longest wait for the table to write a claim. */
   claimTimeoutMs: number
+  /** Longest run of a task at an agent. */
   leaseMs: number
-  /** Told how each claim ended: owned, existing, unavailable, taken_over. */
+  /** Called with the outcome of each claim: owned, existing, unavailable or taken_over. */
   observeClaim: (outcome: string) => void
 }
 
+/** When callers should retry a request that this entry or the table service cannot serve now. */
 export const STORE_RETRY_MS = 1000
+/** Time for collecting the results of a job that was taken over. */
 const TAKEOVER_DEADLINE_MS = 60_000
 
 /**
- * Turns claims into open jobs: fresh ones start their tasks, those taken over
- * from a lost owner only collect results.
+ * Claims submissions and opens their jobs. The tasks of a submission that
+ * nobody has started are sent to agents; of a claim taken over from a lost
+ * owner, only the results are collected, as its tasks may have run.
  */
 export class JobStarter {
-  /** Nonces given up before anything was started; nothing ever will be under them. */
+  /** Nonces of claims that this entry gave up before it started anything; it never starts anything under them. */
   private readonly released = new Set<string>()
 
   constructor (private readonly options: JobStarterOptions) {}
 
-  /** True if the claim is one that this entry gave up, so that nothing of it was or will be started. */
+  /** True if this entry gave up the claim with this nonce, so that nothing was or will be started under it. */
   isReleased (nonce: string): boolean {
     return this.released.has(nonce)
   }
@@ -82,7 +88,7 @@
     return this.startAdmitted(outcome, job, clock.now())
   }
 
-  /** Takes over a claim whose owner is lost, and collects what agents know. */
+  /** Takes over a claim whose owner is lost, and collects from agents the results that they remember. */
   async collect (claim: Claim): Promise<BeginOutcome> {
     const { clock, claims, owned, claimTimeoutMs, observeClaim } = this.options
     const outcome = await claims.takeOver(claim, clock.now() + claimTimeoutMs)
--- a/packages/coordination/src/jobs/outageLookup.test.ts
+++ b/packages/coordination/src/jobs/outageLookup.test.ts
@@ -7,10 +7,10 @@
 const MEMORY_MS = 600_000
 const FRESH_MS = 6000
 
-/** Everything that the proof of "not run" rests on, as it should be. */
+/** The conditions that must all hold for the reply "not run". */
 const PROVED = {
   sinceReadMs: 100,
-  /** Age of the view once the others have answered. */
+  /** Age of the last read once the peers have answered. */
   sinceReadMsLater: 100,
   sinceEndMs: Infinity,
   isMemoryWhole: true,
@@ -21,19 +21,21 @@
 }
 
 const CASES: { name: string, facts: Partial<typeof PROVED>, run: string }[] = [
-  { name: 'all is as it should be', facts: {}, run: RUN_STATES.notRun },
-  { name: 'the view is too old', facts: { sinceReadMs: FRESH_MS, sinceReadMsLater: FRESH_MS }, run: RUN_STATES.mayHaveRun },
-  { name: 'the view was too old when the list was taken from it', facts: { sinceReadMs: FRESH_MS }, run: RUN_STATES.mayHaveRun },
-  { name: 'an entry has ended lately', facts: { sinceEndMs: MEMORY_MS - 1 }, run: RUN_STATES.mayHaveRun },
-  { name: 'an entry ended longer ago than anybody remembers', facts: { sinceEndMs: MEMORY_MS + 1 }, run: RUN_STATES.notRun },
-  { name: 'the own memory dropped an answer early', facts: { isMemoryWhole: false }, run: RUN_STATES.mayHaveRun },
-  { name: 'the others do not know this entry yet', facts: { mayClaim: false }, run: RUN_STATES.mayHaveRun },
+  { name: 'all conditions hold', facts: {}, run: RUN_STATES.notRun },
+  { name: 'the last read of the entries is too old', facts: { sinceReadMs: FRESH_MS, sinceReadMsLater: FRESH_MS }, run: RUN_STATES.mayHaveRun },
+  { name: 'the last read was too old when the peers were listed, though a newer one followed', facts: { sinceReadMs: FRESH_MS }, run: RUN_STATES.mayHaveRun },
+  { name: 'an entry ended within the memory time', facts: { sinceEndMs: MEMORY_MS - 1 }, run: RUN_STATES.mayHaveRun },
+  { name: 'an entry ended before the memory time', facts: { sinceEndMs: MEMORY_MS + 1 }, run: RUN_STATES.notRun },
+  { name: 'this entry dropped an answer early', facts: { isMemoryWhole: false }, run: RUN_STATES.mayHaveRun },
+  { name: 'the other entries do not know this one yet', facts: { mayClaim: false }, run: RUN_STATES.mayHaveRun },
   { name: 'another entry does not answer', facts: { reachable: false }, run: RUN_STATES.mayHaveRun },
-  { name: 'a later process answers at its address', facts: { answeredBy: 'incarnation-2' }, run: RUN_STATES.mayHaveRun },
+  { name: 'a later incarnation answers at the address of the entry asked', facts: { answeredBy: 'incarnation-2' }, run: RUN_STATES.mayHaveRun },
   { name: 'another entry dropped an answer early', facts: { memoryWhole: false }, run: RUN_STATES.mayHaveRun }
 ]
 
-test.each(CASES)('of a submission that nobody knows: $run where $name', async ({ facts, run }) => {
+// Guards against the reply "not run" for a submission that ran at an entry that was not
+// asked, did not answer, has ended since or has dropped the answer.
+test.each(CASES)('a submission that no entry knows is reported as "$run" if $name', async ({ facts, run }) => {
   const all = { ...PROVED, ...facts }
   const directory = {
     others: [create(EntryRecordSchema, { entryId: 'entry-1', incarnation: 'incarnation-1', sessionAddress: '127.0.0.1:1' })],
@@ -54,7 +56,7 @@
         const { answeredBy: incarnation, memoryWhole } = all
         return { ok: true, value: create(AwaitResponseSchema, { kind: PEER_ANSWERS.unknown, incarnation, memoryWhole }) }
       },
-      cancel: async () => { throw new Error('a lookup cancels nothing') }
+      cancel: async () => { throw new Error('a lookup must not cancel a job') }
     }
   })
   expect(await lookup.find('florist', 'order-1', undefined, 0)).toEqual({ type: 'absent', run })
--- a/packages/coordination/src/jobs/outageLookup.ts
+++ b/packages/coordination/src/jobs/outageLookup.ts
@@ -7,56 +7,60 @@
 import { refuseConflict } from './replies.js'
 import type { JobReply } from './replies.js'
 
-/** What the lookup needs. */
+/** Dependencies and settings of the lookup. */
 export interface OutageLookupOptions {
   clock: Clock
   peers: PeerCalls
   directory: Pick<EntryDirectory, 'others' | 'sinceReadMs' | 'sinceEndMs'>
   /** How long entries remember their jobs, in ms. */
   memoryMs: number
-  /** Age up to which the last read shows every entry that may claim; less than their announcement waits, in ms. */
+  /**
+   * Age up to which the last read of the entries includes every entry that may
+   * claim, in ms. Must be less than the time that a new entry waits before it
+   * claims without an answer from all others.
+   */
   freshMs: number
-  /** True if this entry itself has dropped no answer early. */
+  /** True if this entry remembers every answer younger than `memoryMs`. */
   isMemoryWhole: () => boolean
-  /** True once this entry is known to the others, and so knows them. */
+  /** True once the other entries know this one, and this one therefore knows them. */
   mayClaim: () => boolean
 }
 
-/** A job found at a peer, or what can be said about one that was not found. */
+/** The reply of a job found at a peer, or whether a job that was not found may have run. */
 export type OutageFinding =
   | { type: 'reply', reply: JobReply }
   | { type: 'absent', run: RunState }
 
 interface PeerFinding {
   address: string
-  /** The process that was meant to answer. */
+  /** Incarnation of the entry that was asked. */
   incarnation: string
   response: AwaitResponse | undefined
 }
 
 const KNOWN_KINDS: ReadonlySet<string> = new Set([PEER_ANSWERS.final, PEER_ANSWERS.pending])
 
-/** The process that was meant has answered, and has every answer of the window. */
+/** True if the incarnation that was asked has answered itself, and remembers every answer of the window. */
 const provesUnknown = ({ incarnation, response }: PeerFinding): boolean =>
   response?.incarnation === incarnation && response.memoryWhole
 
 /**
- * Looks for a submission while the table cannot be read, by asking every other
- * entry for its memory. That nothing of the submission ran can be said only if
- * every entry that may have run it is known and answers from a whole memory,
- * and none has ended within the memory's length.
+ * Looks for a submission in the memory of every other entry while the table
+ * cannot be read. "Not run" is reported only if every entry that may have run
+ * the submission is known and answers from a complete memory, and no entry has
+ * ended within `memoryMs`.
  */
 export class OutageLookup {
   constructor (private readonly options: OutageLookupOptions) {}
 
   /**
-   * Finds a submission at the peers.
+   * Asks all peers for a submission.
    *
-   * @param hash - body of this submission, `undefined` for a question about any
-   * @param waitMs - how long to wait for the answer of a job found
+   * @param hash - hash of the body submitted, `undefined` if any body is accepted
+   * @param waitMs - how long to wait for the answer of a job that a peer knows
    */
   async find (workspace: string, submission: string, hash: Uint8Array | undefined, waitMs: number): Promise<OutageFinding> {
-    // Judged before the others are asked: a later read may show an entry that was not among them.
+    // Checked before the peers are asked: a later read may add an entry that was not asked.
     const isEveryEntryKnown = this.isEveryEntryKnown()
     const findings = await Promise.all(this.options.directory.others.map(async ({ sessionAddress, incarnation }) =>
       ({ address: sessionAddress, incarnation, response: await this.askPeer(sessionAddress, workspace, submission, 0) })))
@@ -72,7 +76,7 @@
     return res.ok ? res.value : undefined
   }
 
-  /** True if the directory shows every entry that can have run anything that is remembered. */
+  /** True if the directory shows every entry that can have run a job within `memoryMs`. */
   private isEveryEntryKnown (): boolean {
     const { directory, memoryMs, freshMs, mayClaim } = this.options
     return mayClaim() && directory.sinceReadMs < freshMs && directory.sinceEndMs > memoryMs
--- a/packages/coordination/src/jobs/ownedJobs.ts
+++ b/packages/coordination/src/jobs/ownedJobs.ts
@@ -9,30 +9,31 @@
 import type { Job } from './job.js'
 import { completeAnswer, failedAnswer } from './replies.js'
 
-/** News of a job for those who wait for it. */
+/** What a request that waits for a job is notified of. */
 export type JobUpdate =
   | { type: 'answer', answer: JobAnswer }
-  /** The final state could not be saved yet, so it must not be told yet. */
+  /** The final state could not be saved yet, so it must not be reported yet. */
   | { type: 'unsaved' }
   /** Another entry owns the claim now. */
   | { type: 'moved' }
+  /** The wait ended before the job did. */
   | { type: 'pending' }
 
-/** What owned jobs need. */
+/** Dependencies and settings of owned jobs. */
 export interface OwnedJobsOptions extends AnswerWindowOptions {
   clock: Clock
   claims: Pick<ClaimStore, 'finish'>
   dispatcher: () => Pick<Dispatcher, 'add' | 'collect' | 'drop' | 'release'>
   /** Longest wait for one attempt to save a final state, in ms. */
   saveTimeoutMs: number
-  /** Told of every final answer. */
+  /** Called with every final answer. */
   onAnswer: (job: Job, answer: JobAnswer) => void
 }
 
 interface OwnedJob {
   job: Job
   claim: Claim
-  waiters: Set<(news: JobUpdate) => void>
+  waiters: Set<(update: JobUpdate) => void>
   cancelDeadline: () => void
 }
 
@@ -40,23 +41,24 @@
  * Jobs that this entry owns, from their claim to their final answer.
  *
  * Invariant: the final state of an unrepeatable job is committed to its claim
- * row before anybody is told, so that every later answer is the same.
+ * row before it is reported to anybody, so that every later answer is the same.
  */
 export class OwnedJobs {
   private readonly open = new Map<string, OwnedJob>()
   private readonly answers: AnswerWindow
+  /** Number of finished jobs whose final state is being written. */
   private saving = 0
 
   constructor (private readonly options: OwnedJobsOptions) {
     this.answers = new AnswerWindow(options)
   }
 
-  /** Jobs whose answer is not final, and finished ones whose state is not saved yet. */
+  /** Number of open jobs, plus the final states being written. */
   get size (): number {
     return this.open.size + this.saving
   }
 
-  /** Jobs whose answer is not final. */
+  /** Keys of the open jobs: those whose final answer was not reported yet. */
   get openKeys (): string[] {
     return [...this.open.keys()]
   }
@@ -67,13 +69,13 @@
     this.options.dispatcher().add(job)
   }
 
-  /** Collects what agents know of a job under a claim taken over. */
+  /** Opens a job whose claim was taken over, and collects the results that agents remember. */
   collect (job: Job, claim: Claim): void {
     this.adopt(job, claim)
     this.options.dispatcher().collect(job, claim.record.deadlineMs)
   }
 
-  /** The claim of an open job. */
+  /** The claim of an open job; `undefined` if the job is not open here. */
   claimOf (key: string): Claim | undefined {
     return this.open.get(key)?.claim
   }
@@ -88,12 +90,16 @@
     return this.answers.isWhole
   }
 
-  /** Forgets answers that are old. */
+  /** Drops answers that are too old. */
   trim (): void {
     this.answers.trim()
   }
 
-  /** Waits for news of an open job. */
+  /**
+   * Waits for the next update of an open job.
+   *
+   * @returns `pending` after `waitMs`, and `moved` if the job is not open here
+   */
   wait (key: string, waitMs: number): Promise<JobUpdate> {
     const owned = this.open.get(key)
     if (owned === undefined) return Promise.resolve({ type: 'moved' })
@@ -108,25 +114,25 @@
     })
   }
 
-  /** All tasks of a job are done. */
+  /** Ends a job of which all tasks are done. */
   complete (job: Job): void {
     void this.finish(job, completeAnswer(job))
   }
 
-  /** The job cannot complete. What still runs of it is aborted. */
+  /** Ends a job that cannot complete, and aborts its tasks that still run. */
   fail (job: Job, reason: Reason, message: string): void {
     const answer = failedAnswer(job, reason, message)
     this.options.dispatcher().drop(job)
     void this.finish(job, answer)
   }
 
-  /** Fails an open job by its key. */
+  /** Fails an open job by its key; a finished one stays as it is. */
   failByKey (key: string, reason: Reason, message: string): void {
     const owned = this.open.get(key)
     if (owned !== undefined && owned.job.answer === undefined) this.fail(owned.job, reason, message)
   }
 
-  /** Another entry owns the claim: whoever waits must ask there. */
+  /** Closes a job whose claim another entry owns now; requests that wait for it have to ask that entry. */
   onMoved (job: Job): void {
     const owned = this.open.get(job.key)
     if (owned === undefined || owned.job !== job) return
@@ -169,7 +175,7 @@
     notifyWaiters(owned, { type: 'answer', answer })
   }
 
-  /** Writes the final state for as long as it takes; false if the claim is another entry's now. */
+  /** Writes the final state, with retries until the table answers; false if another entry owns the claim now. */
   private async save (owned: OwnedJob, answer: JobAnswer): Promise<boolean> {
     const { claims, clock, saveTimeoutMs } = this.options
     while (true) {
--- a/packages/coordination/src/jobs/peerAnswers.ts
+++ b/packages/coordination/src/jobs/peerAnswers.ts
@@ -4,30 +4,30 @@
 import type { OwnedJobs } from './ownedJobs.js'
 import type { PeerQuery } from './peerCalls.js'
 
-/** A peer's question answered from memory. */
+/** Reply to the question of another entry, from this entry's memory. Its fields are those of `AwaitResponse`. */
 export interface LocalFinding {
   kind: PeerAnswer
   answer?: JobAnswer
   bodyHash: Uint8Array
-  /** The process that answers. */
+  /** Incarnation of the entry that answers. */
   incarnation: string
-  /** False if answers younger than the window were dropped, so that "unknown" proves nothing. */
+  /** False if an answer was dropped before its time, so that "unknown" does not prove that the job never ran here. */
   memoryWhole: boolean
 }
 
-/** What answers need. */
+/** Dependencies of the answers to other entries. */
 export interface PeerAnswersOptions {
   owned: OwnedJobs
   incarnation: string
   /** Resolves once no claim of the submission is being written here. */
   afterClaiming: (key: string) => Promise<unknown>
-  /** True if this entry gave the claim up before anything was started. */
+  /** True if this entry gave up the claim with this nonce before it started anything. */
   isReleased: (nonce: string) => boolean
 }
 
 const NO_HASH = new Uint8Array()
 
-/** What this entry tells other entries of the jobs in its memory. */
+/** Answers the questions of other entries about the jobs in this entry's memory. */
 export class PeerAnswers {
   constructor (private readonly options: PeerAnswersOptions) {}
 
--- a/packages/coordination/src/jobs/peerCalls.ts
+++ b/packages/coordination/src/jobs/peerCalls.ts
@@ -1,22 +1,23 @@
 import type { Result } from '@hazellift/common'
 import type { AwaitResponse } from '@hazellift/protocol'
 
-/** A call to another entry that got no answer. */
+/** Fault of a call to another entry that got no answer. */
 export interface PeerFault {
   type: 'unreachable'
   message: string
 }
 
-/** Names a job to a peer. */
+/** A question to another entry about a job. */
 export interface PeerQuery {
   workspace: string
   submission: string
-  /** Nonce of the claim that is meant; empty for any. */
+  /** Nonce of the claim that the question is about; empty for any claim of the submission. */
   nonce: string
+  /** How long the peer may wait for the answer of the job. */
   waitMs: number
 }
 
-/** Calls to other entries; the transport is passed in. */
+/** Calls to other entries, by their session address. */
 export interface PeerCalls {
   /** Waits for a job that the peer owns. */
   await: (address: string, query: PeerQuery) => Promise<Result<AwaitResponse, PeerFault>>
--- a/packages/coordination/src/jobs/replies.ts
+++ b/packages/coordination/src/jobs/replies.ts
@@ -3,38 +3,39 @@
 import type { JobAnswer, Reason, RunState } from '@hazellift/protocol'
 import type { Job } from './job.js'
 
-/** A request that got no answer of a job. */
+/** Reply to a request that gets no answer of a job, with the reason. */
 export interface Refusal {
   type: 'refused'
   reason: Reason
   message: string
+  /** Whether anything of the job ran. */
   run: RunState
-  /** When to come back, 0 if it does not help. */
+  /** After what time to retry; 0 if a retry does not help. */
   retryAfterMs: number
 }
 
-/** What a caller is told. */
+/** Reply to the request of a caller. */
 export type JobReply =
   | { type: 'answer', answer: JobAnswer }
-  /** The job runs on. */
+  /** The job has no final answer yet. */
   | { type: 'pending' }
   | Refusal
 
-/** Makes a refusal. */
+/** Creates a refusal. */
 export const refuse = (reason: Reason, message: string, run: RunState, retryAfterMs = 0): Refusal =>
   ({ type: 'refused', reason, message, run, retryAfterMs })
 
-/** Another body stands under the same id. */
+/** Refuses a submission whose id was used before with another body. */
 export const refuseConflict = (): Refusal =>
   refuse(REASONS.idConflict, 'another body was submitted under this id; this one was not run', RUN_STATES.mayHaveRun)
 
-/** Whether anything of a job ran, as its owner knows. */
+/** Whether anything of a job ran, as far as its owner knows. */
 export const runStateOf = ({ hasRun, mayHaveRun }: Job): RunState => {
   if (hasRun) return RUN_STATES.ran
   return mayHaveRun > 0 ? RUN_STATES.mayHaveRun : RUN_STATES.notRun
 }
 
-/** The answer of a job whose tasks are all done. */
+/** Creates the answer of a job whose tasks are all done. */
 export const completeAnswer = (job: Job): JobAnswer => create(JobAnswerSchema, {
   workspace: job.workspace,
   id: job.id,
@@ -43,7 +44,7 @@
   results: job.tasks.map(({ result }) => result!)
 })
 
-/** The answer of a job that cannot complete. */
+/** Creates the answer of a job that cannot complete. */
 export const failedAnswer = (job: Job, reason: Reason, message: string): JobAnswer => create(JobAnswerSchema, {
   workspace: job.workspace,
   id: job.id,
