--- a/packages/coordination/src/tasks/answerBudget.ts
+++ b/packages/coordination/src/tasks/answerBudget.ts
@@ -3,8 +3,8 @@
 const sizeOf = ({ result }: TaskRecord): number => result?.body.length ?? 0
 
 /**
- * Bounds the answers that a ledger keeps, in characters. The oldest are
- * dropped first; that the task ended, and how, stays known.
+ * Limits the total size of the answers that a ledger remembers, in characters.
+ * The oldest answers are dropped first; the outcome of their tasks stays known.
  */
 export class AnswerBudget {
   private readonly records = new Set<TaskRecord>()
@@ -12,26 +12,26 @@
 
   constructor (private readonly maxSize: number) {}
 
-  /** An entry has its result. */
-  add (entry: TaskRecord): void {
-    this.records.add(entry)
-    this.size += sizeOf(entry)
+  /** Adds a record that has its result, and drops the oldest answers above the limit. */
+  add (record: TaskRecord): void {
+    this.records.add(record)
+    this.size += sizeOf(record)
     for (const oldest of this.records) {
       if (this.size <= this.maxSize) return
       this.drop(oldest)
     }
   }
 
-  /** An entry is forgotten as a whole. */
-  remove (entry: TaskRecord): void {
-    if (this.records.delete(entry)) this.size -= sizeOf(entry)
+  /** Removes a record that the ledger forgets. */
+  remove (record: TaskRecord): void {
+    if (this.records.delete(record)) this.size -= sizeOf(record)
   }
 
-  private drop (entry: TaskRecord): void {
-    this.remove(entry)
-    if (sizeOf(entry) === 0) return
-    // A copy: whoever has not acknowledged the result yet still gets it whole.
-    entry.result = { ...entry.result!, body: '' }
-    entry.isAnswerDropped = true
+  private drop (record: TaskRecord): void {
+    this.remove(record)
+    if (sizeOf(record) === 0) return
+    // A copy, as an entry that has not acknowledged the result yet still gets it with its answer.
+    record.result = { ...record.result!, body: '' }
+    record.isAnswerDropped = true
   }
 }
--- a/packages/coordination/src/tasks/endsElsewhereCounter.ts
+++ b/packages/coordination/src/tasks/endsElsewhereCounter.ts
@@ -3,11 +3,11 @@
 import type { EndsElsewhere, TaskResult } from '@hazellift/protocol'
 import { VERDICTS, judgeResult } from '../health/judgeResult.js'
 
-/** What one entry is still to be told of the starts of the others. */
+/** Counts ended starts of other entries that one entry has not been notified of. */
 export class EndsElsewhereCounter {
   private ends: EndsElsewhere | undefined
 
-  /** Counts a result that went to another entry. */
+  /** Counts a result that goes to another entry. */
   count (result: TaskResult): void {
     const verdict = judgeResult(result)
     if (verdict === VERDICTS.none) return
@@ -20,7 +20,7 @@
     this.ends.runMs += result.runMs
   }
 
-  /** What was counted since the last call, if anything. */
+  /** Returns what was counted since the last call, and starts again; `undefined` if nothing was. */
   take (): EndsElsewhere | undefined {
     const { ends } = this
     this.ends = undefined
--- a/packages/coordination/src/tasks/keys.ts
+++ b/packages/coordination/src/tasks/keys.ts
@@ -1,15 +1,15 @@
 import type { TaskKey } from '@hazellift/protocol'
 
-/** Separates parts of a key; neither workspace names nor ids may hold it. */
+/** Separates the parts of a key; workspace names and ids must not contain it. */
 const SEPARATOR = '/'
 
-/** Names a submission across workspaces. */
+/** Key of a submission, unique across workspaces. */
 export const submissionKey = (workspace: string, submission: string): string =>
   workspace + SEPARATOR + submission
 
-/** Marks a further attempt in a key. */
+/** Precedes the number of a later attempt in a key. */
 const ATTEMPT_MARK = '#'
 
-/** Names an attempt at a task across submissions; also the idempotency key that endpoints get. */
+/** Key of an attempt at a task, unique across submissions; endpoints get it as the idempotency key. */
 export const taskKey = ({ workspace, submission, task, attempt }: TaskKey): string =>
   submissionKey(workspace, submission) + SEPARATOR + task + (attempt > 0 ? ATTEMPT_MARK + attempt : '')
--- a/packages/coordination/src/tasks/mailboxes.ts
+++ b/packages/coordination/src/tasks/mailboxes.ts
@@ -3,16 +3,16 @@
 interface Mailbox {
   lastSeq: bigint
   unacked: TaskResult[]
-  touchedAt: number
+  lastPutAt: number
 }
 
-/** Results by the entry's incarnation that they are for, kept until acknowledged; they outlive sessions. */
+/** Results for entries, by the entry's incarnation. They are stored until acknowledged, also across sessions. */
 export class Mailboxes {
   private readonly boxes = new Map<string, Mailbox>()
 
   constructor (private readonly now: () => number) {}
 
-  /** Results that no entry has acknowledged yet. */
+  /** Number of results that are not acknowledged yet. */
   get unackedCount (): number {
     let count = 0
     for (const { unacked } of this.boxes.values()) count += unacked.length
@@ -24,26 +24,31 @@
     return this.boxes.get(incarnation)?.unacked ?? []
   }
 
-  /** Numbers a result and keeps it. */
+  /** Gives a result the next sequence number of the incarnation and stores it. */
   put (incarnation: string, result: TaskResult): void {
-    const box = this.boxes.get(incarnation) ?? { lastSeq: 0n, unacked: [], touchedAt: 0 }
+    const box = this.boxes.get(incarnation) ?? { lastSeq: 0n, unacked: [], lastPutAt: 0 }
     result.seq = ++box.lastSeq
     box.unacked.push(result)
-    box.touchedAt = this.now()
+    box.lastPutAt = this.now()
     this.boxes.set(incarnation, box)
   }
 
-  /** An entry has every result up to this one. */
+  /** Removes the results up to a sequence number, which the entry has received. */
   acknowledge (incarnation: string, seq: bigint): void {
     const box = this.boxes.get(incarnation)
     if (box === undefined) return
     while (box.unacked.length > 0 && box.unacked[0]!.seq <= seq) box.unacked.shift()
   }
 
-  /** Forgets results for entries that are gone and that nothing was put for since. */
-  sweep (isOpen: (incarnation: string) => boolean, oldest: number): void {
-    for (const [incarnation, { touchedAt }] of this.boxes) {
-      if (!isOpen(incarnation) && touchedAt < oldest) this.boxes.delete(incarnation)
+  /**
+   * Removes the mailboxes of entries that are gone.
+   *
+   * @param isOpen - true if the entry's incarnation has a session
+   * @param oldestAt - mailboxes without a session are removed if their last result is older
+   */
+  sweep (isOpen: (incarnation: string) => boolean, oldestAt: number): void {
+    for (const [incarnation, { lastPutAt }] of this.boxes) {
+      if (!isOpen(incarnation) && lastPutAt < oldestAt) this.boxes.delete(incarnation)
     }
   }
 }
--- a/packages/coordination/src/tasks/rememberedResult.ts
+++ b/packages/coordination/src/tasks/rememberedResult.ts
@@ -3,11 +3,14 @@
 import type { TaskKey, TaskResult } from '@hazellift/protocol'
 import type { TaskRecord } from './taskLedger.js'
 
-/** True for a later attempt, if the one known is over and has failed. */
+/** True if the key is that of a later attempt than the known one, which has failed. */
 export const isRetryOf = (known: TaskRecord, { attempt }: TaskKey): boolean =>
   attempt > known.key.attempt && known.result?.outcome === TASK_OUTCOMES.failed
 
-/** The end of a start as it can be told again; one whose answer was dropped must not pass for done. */
+/**
+ * Result of a start as it can be reported again; `undefined` if it has not ended.
+ * If the answer was dropped it is a failure, as a task that is done has an answer.
+ */
 export const rememberedResult = ({ key, result, isAnswerDropped }: TaskRecord): TaskResult | undefined => {
   if (result === undefined) return undefined
   if (!isAnswerDropped) return { ...result }
--- a/packages/coordination/src/tasks/taskHost.ts
+++ b/packages/coordination/src/tasks/taskHost.ts
@@ -10,8 +10,9 @@
 import { TaskSessions } from './taskSessions.js'
 
 interface WaitingStart {
-  entry: TaskRecord
+  record: TaskRecord
   start: Start
+  /** Incarnation of the entry that sent the start; its slot is counted there. */
   owner: string
 }
 
@@ -19,7 +20,7 @@
 
 /**
  * An agent's side of all its sessions: accepts starts against credits, runs
- * them, and keeps results until they are acknowledged.
+ * them at the endpoint, and stores results until entries acknowledge them.
  */
 export class TaskHost implements SessionHost {
   private readonly ledger: TaskLedger
@@ -37,7 +38,7 @@
     this.sessions = new TaskSessions(clock)
   }
 
-  /** Tasks that run or wait here. */
+  /** Number of tasks that run or wait for a slot at this agent. */
   get busy (): number {
     return this.running + this.waitingStarts.length
   }
@@ -47,14 +48,17 @@
     return this.sessions.haveAllSeenLeaving
   }
 
-  /** Results that no entry has acknowledged yet. */
+  /** Number of results that are not acknowledged yet. */
   get unacked (): number {
     return this.sessions.unacked
   }
 
   /**
-   * A session with an entry's incarnation is open. An earlier one with the
-   * same incarnation has been closed: nothing it may still carry is accepted.
+   * Begins a session with an entry's incarnation: sends what this agent holds
+   * for the entry, and credits. An earlier session with the same incarnation has
+   * been closed, and frames that it may still carry are not accepted.
+   *
+   * @param add - changes the next frame that is sent on the session
    */
   openSession (incarnation: string, add: AddToFrame): void {
     this.sessions.begin(incarnation, add)
@@ -68,11 +72,11 @@
       frame.leaving = this.leaving
     })
     for (const result of unacked) this.sessions.report(incarnation, result)
-    for (const entry of started) if (entry.recipient !== incarnation) this.reportTakenOver(incarnation, entry.key)
+    for (const record of started) if (record.recipient !== incarnation) this.reportTakenOver(incarnation, record.key)
     this.grant((entry) => entry === incarnation)
   }
 
-  /** The session ended; its credits are void. Running tasks run on. */
+  /** Ends a session, whose unused credits become void. Tasks that run go on. */
   closeSession (incarnation: string, add: AddToFrame): void {
     if (!this.sessions.isLatest(incarnation, add)) return
     this.sessions.end(incarnation)
@@ -80,9 +84,9 @@
     this.grant()
   }
 
-  /** Handles what an entry sent on an open session. */
+  /** Handles a frame that an entry sent on its session. */
   onFrame (incarnation: string, add: AddToFrame, frame: EntryFrame): void {
-    // A frame of a closed session may hold starts that its entry has sent elsewhere since.
+    // A frame of a closed session may hold starts that its entry has since sent to other agents.
     if (!this.sessions.isLatest(incarnation, add)) return
     this.sessions.onFrame(incarnation, frame)
     if (frame.returnedCredits > 0) this.granter.returned(incarnation, frame.returnedCredits)
@@ -93,7 +97,11 @@
     this.grant()
   }
 
-  /** The endpoint announced itself, changed or left (no service). */
+  /**
+   * Adopts the state of the endpoint and reports it to all entries.
+   *
+   * @param endpoint - `undefined` or without a service if the endpoint has left
+   */
   setEndpoint (endpoint: EndpointState | undefined): void {
     this.endpoint = endpoint === undefined ? NO_ENDPOINT : { ...endpoint, standingCredits: this.options.standingCredits }
     this.granter.setSlots(this.leaving ? 0 : this.endpoint.slots)
@@ -105,7 +113,7 @@
     this.grant(() => true)
   }
 
-  /** Takes no new work from now on; what runs is finished. */
+  /** Accepts no starts from now on and refuses those that wait; tasks that run are finished. */
   leave (): void {
     this.leaving = true
     this.granter.setSlots(0)
@@ -116,25 +124,29 @@
     this.refuseWaiting()
   }
 
-  /** Aborts what still runs, for a stop whose grace time is over. */
+  /**
+   * Aborts the tasks that still run, when the grace time of a stop has passed.
+   *
+   * @returns the tasks aborted
+   */
   abortAll (): TaskKey[] {
     const running = this.ledger.entries().filter(({ abort }) => abort !== undefined)
     for (const { abort } of running) abort?.(REASONS.stopCut)
     return running.map(({ key }) => key)
   }
 
-  /** A frame on every session, so that entries see this agent and a fresh stamp. */
+  /** Sends a frame on every session, so that entries see that this agent is alive and get a fresh timestamp. */
   keepAlive (): void {
     this.sessions.addToAll(() => {})
   }
 
-  /** Forgets what is old enough. */
+  /** Forgets starts, revokes and results that are older than `memoryMs`. */
   sweep (): void {
     this.ledger.sweep()
     this.sessions.sweep(this.options.memoryMs)
   }
 
-  /** Fills in what every frame carries. */
+  /** Fills in the fields that every frame has. */
   stamp (incarnation: string, frame: AgentFrame): void {
     frame.stampMs = this.options.clock.now()
     frame.free = this.granter.freeFor(incarnation)
@@ -148,7 +160,7 @@
     if (known !== undefined && !isRetryOf(known, key)) return this.onDuplicate(incarnation, known)
     const refusal = this.refusalOf(key, start)
     if (refusal !== undefined) {
-      // A refused start used its credit all the same.
+      // A start uses its credit even if it is refused.
       if (this.granter.accept(incarnation)) this.granter.release(incarnation)
       return this.refuseStart(incarnation, key, refusal)
     }
@@ -156,9 +168,9 @@
       if (this.waitingStarts.length >= this.options.overflowQueue) return this.refuseStart(incarnation, key, REASONS.noSlot)
       this.granter.acceptOverflow(incarnation)
     }
-    const entry: TaskRecord = { key, origin: incarnation, recipient: incarnation }
-    this.ledger.add(entry)
-    this.waitingStarts.push({ entry, start, owner: incarnation })
+    const record: TaskRecord = { key, origin: incarnation, recipient: incarnation }
+    this.ledger.add(record)
+    this.waitingStarts.push({ record, start, owner: incarnation })
     this.runWaiting()
   }
 
@@ -188,19 +200,19 @@
   }
 
   private runWaiting (): void {
-    // Never more than the slots run at once; what standing credits brought beyond that waits.
+    // At most as many tasks as there are slots run at once; starts beyond that, by standing credits, wait.
     while (this.waitingStarts.length > 0 && this.running < this.endpoint.slots) void this.run(this.waitingStarts.shift()!)
   }
 
-  private async run ({ entry, start, owner }: WaitingStart): Promise<void> {
+  private async run ({ record, start, owner }: WaitingStart): Promise<void> {
     const { clock, runAttempt } = this.options
     const controller = new AbortController()
     let abortReason: string | undefined
-    entry.abort = (reason) => {
+    record.abort = (reason) => {
       abortReason ??= reason
       controller.abort()
     }
-    const cancelLease = clock.after(start.leaseMs, () => entry.abort?.(REASONS.leaseExpired))
+    const cancelLease = clock.after(start.leaseMs, () => record.abort?.(REASONS.leaseExpired))
     this.running++
     const startedAt = clock.now()
     const end = await runAttempt(start, this.endpoint, controller.signal)
@@ -208,24 +220,24 @@
     this.running--
     const isAborted = abortReason !== undefined && end.outcome === TASK_OUTCOMES.failed
     const runMs = Math.round(clock.now() - startedAt)
-    this.end(entry, owner, { ...end, reason: isAborted ? abortReason as Reason : end.reason }, runMs)
+    this.end(record, owner, { ...end, reason: isAborted ? abortReason as Reason : end.reason }, runMs)
   }
 
-  private end (entry: TaskRecord, owner: string, end: AttemptEnd, runMs: number): void {
-    const result = create(TaskResultSchema, { key: entry.key, ...end, runMs })
+  private end (record: TaskRecord, owner: string, end: AttemptEnd, runMs: number): void {
+    const result = create(TaskResultSchema, { key: record.key, ...end, runMs })
     this.granter.release(owner)
     this.options.onResult?.(result)
-    // A start that did not happen must not stand in the way of one that the entry may send again.
-    if (end.outcome === TASK_OUTCOMES.notStarted) this.ledger.remove(entry.key)
-    else this.ledger.finish(entry, result)
-    this.sessions.countForOthers(entry.recipient, result)
-    this.sessions.deliver(entry.recipient, result)
+    // Forgotten, because the entry may send this start again, which would otherwise be ignored as a duplicate.
+    if (end.outcome === TASK_OUTCOMES.notStarted) this.ledger.remove(record.key)
+    else this.ledger.finish(record, result)
+    this.sessions.countForOthers(record.recipient, result)
+    this.sessions.deliver(record.recipient, result)
     this.runWaiting()
-    this.grant((incarnation) => incarnation === entry.recipient, entry.recipient)
+    this.grant((entry) => entry === record.recipient, record.recipient)
   }
 
   private onRevoke (incarnation: string, workspace: string, submission: string, tasks: number[]): void {
-    // An owner that lost its claim must not end what the new owner waits for.
+    // An entry that lost its claim must not abort tasks whose results the new owner waits for.
     const collector = this.ledger.collectorOf(workspace, submission)
     if (collector !== undefined && collector !== incarnation) return
     const started = this.ledger.revoke(workspace, submission, tasks)
@@ -246,20 +258,25 @@
   }
 
   private refuseWaiting (): void {
-    this.refuseWaitingOf(new Set(this.waitingStarts.map(({ entry }) => entry)), REASONS.endpointGone)
+    this.refuseWaitingOf(new Set(this.waitingStarts.map(({ record }) => record)), REASONS.endpointGone)
   }
 
-  private refuseWaitingOf (entries: Set<TaskRecord>, reason: Reason = REASONS.revoked): void {
-    const refused = this.waitingStarts.filter(({ entry }) => entries.has(entry))
+  private refuseWaitingOf (records: Set<TaskRecord>, reason: Reason = REASONS.revoked): void {
+    const refused = this.waitingStarts.filter(({ record }) => records.has(record))
     for (const waiting of refused) {
       this.waitingStarts.splice(this.waitingStarts.indexOf(waiting), 1)
-      this.end(waiting.entry, waiting.owner, { outcome: TASK_OUTCOMES.notStarted, reason, body: '' }, 0)
+      this.end(waiting.record, waiting.owner, { outcome: TASK_OUTCOMES.notStarted, reason, body: '' }, 0)
     }
   }
 
-  /** Sends out the next credits; `renews` names the entries that hear from this agent anyway. */
-  private grant (renews: (entry: string) => boolean = () => false, hears?: string): void {
-    for (const { entry, credits } of this.granter.plan(renews, hears)) {
+  /**
+   * Sends the next credits to entries.
+   *
+   * @param hasFrame - true for entries that get a frame anyway, so that renewing their standing credits costs none
+   * @param recipient - the entry that a result goes to now, preferred among entries served about alike
+   */
+  private grant (hasFrame: (entry: string) => boolean = () => false, recipient?: string): void {
+    for (const { entry, credits } of this.granter.plan(hasFrame, recipient)) {
       this.sessions.add(entry, (frame) => { frame.credits += credits })
     }
   }
--- a/packages/coordination/src/tasks/taskHostOptions.ts
+++ b/packages/coordination/src/tasks/taskHostOptions.ts
@@ -8,23 +8,23 @@
   body: string
 }
 
-/** Calls the endpoint; must settle soon after `signal` aborts. */
+/** Runs one attempt at the endpoint; its promise must settle soon after `signal` aborts. */
 export type RunAttempt = (start: Start, endpoint: EndpointState, signal: AbortSignal) => Promise<AttemptEnd>
 
-/** Bounds of an agent's work. */
+/** Dependencies and limits of a task host. */
 export interface TaskHostOptions {
   clock: Clock
   runAttempt: RunAttempt
-  /** Credits that each entry keeps beyond the slots. */
+  /** Credits that each entry has in addition to those for free slots. */
   standingCredits: number
-  /** Starts accepted without a credit; they wait for a slot. */
+  /** Number of starts without a credit that may wait for a slot. */
   overflowQueue: number
-  /** Oldest stamp with which a start is accepted, in ms. */
+  /** Age of its timestamp up to which a start is accepted, in ms. */
   startAgeMs: number
   /** How long ended tasks and revokes are remembered, in ms. */
   memoryMs: number
-  /** Answers of ended tasks that are kept in case a claim is taken over, in characters. */
+  /** Total size of the answers remembered in case a claim is taken over, in characters. */
   maxAnswerSize?: number
-  /** Told of every ended start. */
+  /** Called with the result of every start that ended. */
   onResult?: (result: TaskResult) => void
 }
--- a/packages/coordination/src/tasks/taskLedger.ts
+++ b/packages/coordination/src/tasks/taskLedger.ts
@@ -7,13 +7,13 @@
   key: TaskKey
   /** Incarnation of the entry that sent the start. */
   origin: string
-  /** Incarnation of the entry that gets the result: the origin, or who took the claim over. */
+  /** Incarnation of the entry that gets the result: the origin, or the one that took the claim over. */
   recipient: string
-  /** Set once the start ended. */
+  /** Set once the start has ended. */
   result?: TaskResult
-  /** True if the answer was dropped for want of room. */
+  /** True if the answer was dropped because the answers exceeded their total size. */
   isAnswerDropped?: boolean
-  /** Ends the attempt; unset once it ended. */
+  /** Aborts the attempt; unset before it runs and once it has ended. */
   abort?: (reason: string) => void
 }
 
@@ -21,24 +21,25 @@
   workspace: string
   submission: string
   tasks: Map<number, TaskRecord>
-  /** Tasks that must never start, or all of them. */
+  /** Tasks that must never start. */
   revokedTasks: Set<number>
+  /** True if no task of the submission may start. */
   revoked: boolean
-  /** Who took the claim over, if anybody did. */
+  /** Incarnation of the entry that took the claim over, if one did. */
   collector: string | undefined
-  touchedAt: number
-  /** Kept at least until then. */
+  changedAt: number
+  /** Remembered at least until then, on the monotonic clock. */
   rememberUntil: number
 }
 
 /**
- * An agent's memory of what it started and what it must not start.
+ * Remembers at an agent which tasks were started and which must not start.
  *
- * Invariant: an entry is kept for `memoryMs` after it was last touched, and
- * `memoryMs` exceeds the oldest stamp with which a start is accepted. So a
- * start that arrives after its revoke was forgotten is refused by its stamp. A
- * submission taken over is kept for its claim's deadline as well, for its first
- * owner may send fresh starts until then.
+ * Invariant: a submission is remembered for `memoryMs` after its last change,
+ * and `memoryMs` exceeds the age up to which a start is accepted. So a start
+ * that arrives after its revoke was forgotten is refused for its timestamp. A
+ * submission that was taken over is also remembered until the deadline of its
+ * claim, because its first owner may send new starts until then.
  */
 export class TaskLedger {
   private readonly submissions = new Map<string, SubmissionRecord>()
@@ -46,81 +47,82 @@
   private readonly answers: AnswerBudget
 
   /**
-   * @param memoryMs - how long entries are kept at least
-   * @param now - monotonic ms
-   * @param maxAnswerSize - answers kept, in characters
+   * @param memoryMs - how long submissions are remembered at least
+   * @param now - monotonic time, in ms
+   * @param maxAnswerSize - total size of the answers remembered, in characters
    */
   constructor (private readonly memoryMs: number, private readonly now: () => number, maxAnswerSize = Infinity) {
     this.answers = new AnswerBudget(maxAnswerSize)
   }
 
-  /** The entry of a task that was started, if it is remembered. */
+  /** The record of the latest start of a task, if it is remembered. */
   find ({ workspace, submission, task }: TaskKey): TaskRecord | undefined {
     return this.submissions.get(submissionKey(workspace, submission))?.tasks.get(task)
   }
 
   /** True if the task must not start. */
   isRevoked ({ workspace, submission, task }: TaskKey): boolean {
-    const entry = this.submissions.get(submissionKey(workspace, submission))
-    return entry !== undefined && (entry.revoked || entry.revokedTasks.has(task))
+    const record = this.submissions.get(submissionKey(workspace, submission))
+    return record !== undefined && (record.revoked || record.revokedTasks.has(task))
   }
 
-  /** Who took the submission over, if anybody did. */
+  /** Incarnation of the entry that took the submission over, if one did. */
   collectorOf (workspace: string, submission: string): string | undefined {
     return this.submissions.get(submissionKey(workspace, submission))?.collector
   }
 
-  /** Remembers a start. The caller has checked `find` and `isRevoked`. */
-  add (entry: TaskRecord): void {
-    const { tasks } = this.touch(entry.key.workspace, entry.key.submission)
-    const replaced = tasks.get(entry.key.task)
+  /** Remembers a start. The caller must have checked `find` and `isRevoked`. */
+  add (record: TaskRecord): void {
+    const { tasks } = this.touch(record.key.workspace, record.key.submission)
+    const replaced = tasks.get(record.key.task)
     if (replaced !== undefined) this.answers.remove(replaced)
-    tasks.set(entry.key.task, entry)
+    tasks.set(record.key.task, record)
   }
 
-  /** Forgets a start that is proved not to have reached the endpoint. */
+  /** Forgets a start that is known not to have reached the endpoint. */
   remove ({ workspace, submission, task }: TaskKey): void {
     this.submissions.get(submissionKey(workspace, submission))?.tasks.delete(task)
   }
 
-  /** Remembers the end of a start. */
-  finish (entry: TaskRecord, result: TaskResult): void {
-    entry.result = result
-    delete entry.abort
-    this.answers.add(entry)
-    this.touch(entry.key.workspace, entry.key.submission)
+  /** Remembers the result of a start. */
+  finish (record: TaskRecord, result: TaskResult): void {
+    record.result = result
+    delete record.abort
+    this.answers.add(record)
+    this.touch(record.key.workspace, record.key.submission)
   }
 
   /**
-   * Forbids starts.
+   * Forbids starts of tasks.
    *
-   * @param tasks - the tasks, or none for the whole submission
-   * @returns those of them that were started before
+   * @param tasks - indexes of the tasks; empty for all tasks of the submission
+   * @returns the remembered starts of these tasks
    */
   revoke (workspace: string, submission: string, tasks: number[]): TaskRecord[] {
-    const entry = this.touch(workspace, submission)
-    if (tasks.length === 0) entry.revoked = true
-    for (const task of tasks) entry.revokedTasks.add(task)
-    const started = [...entry.tasks.values()]
+    const record = this.touch(workspace, submission)
+    if (tasks.length === 0) record.revoked = true
+    for (const task of tasks) record.revokedTasks.add(task)
+    const started = [...record.tasks.values()]
     return tasks.length === 0 ? started : started.filter(({ key }) => tasks.includes(key.task))
   }
 
   /**
-   * Forbids starts of a submission and sends its results to another entry.
+   * Forbids starts of a submission and makes another entry the recipient of its results.
    *
+   * @param collector - incarnation of the entry that took the claim over
    * @param keepMs - how long the submission must be remembered at least
-   * @returns everything that was started before
+   * @returns the remembered starts of the submission
    */
   collect (workspace: string, submission: string, collector: string, keepMs: number): TaskRecord[] {
     const started = this.revoke(workspace, submission, [])
-    const entry = this.touch(workspace, submission)
-    entry.collector = collector
-    entry.rememberUntil = Math.max(entry.rememberUntil, this.now() + keepMs)
-    for (const entry of started) entry.recipient = collector
+    const record = this.touch(workspace, submission)
+    record.collector = collector
+    record.rememberUntil = Math.max(record.rememberUntil, this.now() + keepMs)
+    for (const task of started) task.recipient = collector
     return started
   }
 
-  /** Every remembered start that an incarnation of an entry sent or took over. */
+  /** Every remembered start that an entry's incarnation sent or took over. */
   startsOf (incarnation: string): TaskRecord[] {
     return this.entries().filter(({ origin, recipient }) => origin === incarnation || recipient === incarnation)
   }
@@ -130,37 +132,37 @@
     return [...this.submissions.values()].flatMap(({ tasks }) => [...tasks.values()])
   }
 
-  /** Forgets what was untouched for the memory's length and is over. */
+  /** Forgets submissions that have not changed for `memoryMs` and of which every start has ended. */
   sweep (): void {
-    const oldest = this.now() - this.memoryMs
-    for (const [key, entry] of this.submissions) {
-      const hasEnded = [...entry.tasks.values()].every(({ result }) => result !== undefined)
-      const isRecent = entry.touchedAt >= oldest || entry.rememberUntil > this.now()
+    const oldestAt = this.now() - this.memoryMs
+    for (const [key, record] of this.submissions) {
+      const hasEnded = [...record.tasks.values()].every(({ result }) => result !== undefined)
+      const isRecent = record.changedAt >= oldestAt || record.rememberUntil > this.now()
       if (!hasEnded || isRecent) continue
       this.submissions.delete(key)
-      for (const task of entry.tasks.values()) this.answers.remove(task)
+      for (const task of record.tasks.values()) this.answers.remove(task)
     }
   }
 
-  /** Submissions remembered. */
+  /** Number of submissions remembered. */
   get size (): number {
     return this.submissions.size
   }
 
   private touch (workspace: string, submission: string): SubmissionRecord {
     const key = submissionKey(workspace, submission)
-    const entry = this.submissions.get(key) ?? {
+    const record = this.submissions.get(key) ?? {
       workspace,
       submission,
       tasks: new Map(),
       revokedTasks: new Set(),
       revoked: false,
       collector: undefined,
-      touchedAt: 0,
+      changedAt: 0,
       rememberUntil: 0
     }
-    entry.touchedAt = this.now()
-    this.submissions.set(key, entry)
-    return entry
+    record.changedAt = this.now()
+    this.submissions.set(key, record)
+    return record
   }
 }
--- a/packages/coordination/src/tasks/taskSessions.ts
+++ b/packages/coordination/src/tasks/taskSessions.ts
@@ -8,16 +8,16 @@
 interface HostSession {
   add: AddToFrame
   endsElsewhere: EndsElsewhereCounter
-  /** The entry knows that this agent is leaving, so no start follows. */
+  /** True if the entry knows that this agent is leaving, so that it sends no further start. */
   sawLeaving: boolean
 }
 
-/** Least time between frames that only tell of a failure. */
+/** Minimum time between frames that are sent only to report a failure. */
 const FAILURE_REPORT_INTERVAL_MS = 20
 
-/** An agent's sessions with entries, and the results that they carry until entries acknowledge them. */
+/** An agent's sessions with entries, and the results that are sent on them until entries acknowledge them. */
 export class TaskSessions {
-  /** By the entry's incarnation. */
+  /** Open sessions by the entry's incarnation. */
   private readonly sessions = new Map<string, HostSession>()
   private readonly mailboxes: Mailboxes
   private failureReportedAt = -Infinity
@@ -31,72 +31,79 @@
     return [...this.sessions.values()].every(({ sawLeaving }) => sawLeaving)
   }
 
-  /** Results that no entry has acknowledged yet. */
+  /** Number of results that are not acknowledged yet. */
   get unacked (): number {
     return this.mailboxes.unackedCount
   }
 
+  /** Results that an entry has not acknowledged, oldest first. */
   unackedOf (incarnation: string): TaskResult[] {
     return this.mailboxes.unackedOf(incarnation)
   }
 
+  /** Opens the session of an entry, in place of an earlier one. */
   begin (incarnation: string, add: AddToFrame): void {
     this.sessions.set(incarnation, { add, endsElsewhere: new EndsElsewhereCounter(), sawLeaving: false })
   }
 
+  /** Closes the session of an entry; its results are kept for the next one. */
   end (incarnation: string): void {
     this.sessions.delete(incarnation)
   }
 
-  /** True if this sender belongs to the entry's latest session. */
+  /** True if `add` belongs to the entry's latest session. */
   isLatest (incarnation: string, add: AddToFrame): boolean {
     return this.sessions.get(incarnation)?.add === add
   }
 
-  /** Takes from an entry's frame what it tells of the session itself. */
+  /** Handles the fields of an entry's frame that concern the session: acknowledgements and the seen leave. */
   onFrame (incarnation: string, { sawLeaving, ackedSeq }: EntryFrame): void {
     const session = this.sessions.get(incarnation)
     if (session !== undefined) session.sawLeaving ||= sawLeaving
     this.mailboxes.acknowledge(incarnation, ackedSeq)
   }
 
-  /** Adds to the next frame of an entry's session, if it has one. */
+  /** Changes the next frame to an entry, if it has a session. */
   add (incarnation: string, change: (frame: AgentFrame) => void): void {
     this.sessions.get(incarnation)?.add(change)
   }
 
+  /** Changes the next frame of every session. */
   addToAll (change: (frame: AgentFrame) => void): void {
     for (const { add } of this.sessions.values()) add(change)
   }
 
-  /** Tells an entry of an end, and again in its next sessions until it acknowledges it. */
+  /** Reports a result to an entry, and again in its next sessions until it is acknowledged. */
   deliver (incarnation: string, result: TaskResult): void {
     this.mailboxes.put(incarnation, result)
     this.report(incarnation, result)
   }
 
-  /** Tells an entry of an end in this session. */
+  /** Reports a result to an entry in its present session only. */
   report (incarnation: string, result: TaskResult): void {
     this.add(incarnation, (frame) => { frame.results.push(result) })
   }
 
-  /** Counts an end for the entries that it does not go to; a failure is told at once, but not too often. */
+  /**
+   * Counts a result for the entries that are not its recipient, so that they can
+   * judge the endpoint. Failures are reported at once, at the minimum interval.
+   */
   countForOthers (recipient: string, result: TaskResult): void {
     const isUrgent = judgeResult(result) === VERDICTS.failed && this.clock.now() - this.failureReportedAt >= FAILURE_REPORT_INTERVAL_MS
     if (isUrgent) this.failureReportedAt = this.clock.now()
-    for (const [incarnation, { add, endsElsewhere: elsewhere }] of this.sessions) {
+    for (const [incarnation, { add, endsElsewhere }] of this.sessions) {
       if (incarnation === recipient) continue
-      elsewhere.count(result)
+      endsElsewhere.count(result)
       if (isUrgent) add(() => {})
     }
   }
 
-  /** What was counted for an entry since it was told last. */
+  /** Returns what was counted for an entry since the last call. */
   takeEndsElsewhere (incarnation: string): EndsElsewhere | undefined {
     return this.sessions.get(incarnation)?.endsElsewhere.take()
   }
 
-  /** Forgets results that entries without a session have not fetched for so long. */
+  /** Forgets the results for entries that have no session, `memoryMs` after the last one was added. */
   sweep (memoryMs: number): void {
     this.mailboxes.sweep((incarnation) => this.sessions.has(incarnation), this.clock.now() - memoryMs)
   }
