--- a/packages/coordination/src/jobs/claimFollower.ts
+++ b/packages/coordination/src/jobs/claimFollower.ts
@@ -10,7 +10,7 @@
 import type { JobReply } from './replies.js'
 
 /** What the job service has to do next about a claim that was followed. */
-export type FollowOutcome =
+export type FollowStep =
   | { type: 'reply', reply: JobReply }
   /** This entry owns the claim and knows the job: it is open here, or its answer is remembered. */
   | { type: 'local' }
@@ -39,7 +39,7 @@
 const PEER_WAIT_MS = 2000
 const UNREACHABLE_RETRY_MS = 200
 
-const ownerUnreachable = (message: string, retryAfterMs: number): FollowOutcome => ({
+const ownerUnreachable = (message: string, retryAfterMs: number): FollowStep => ({
   type: 'reply',
   reply: refuse(REASONS.ownerUnreachable, message, RUN_STATES.mayHaveRun, retryAfterMs)
 })
@@ -54,7 +54,7 @@
    * @param hash - hash of the body submitted, `undefined` if any body is accepted
    * @param until - when to stop waiting, on the monotonic clock
    */
-  async follow (claim: Claim, hash: Uint8Array | undefined, until: number): Promise<FollowOutcome> {
+  async follow (claim: Claim, hash: Uint8Array | undefined, until: number): Promise<FollowStep> {
     if (hash !== undefined && !isSameBody(claim.record.bodyHash, hash)) return { type: 'reply', reply: refuseConflict() }
     let current = claim
     while (true) {
@@ -68,7 +68,7 @@
     }
   }
 
-  private async step (claim: Claim, until: number): Promise<FollowOutcome | undefined> {
+  private async step (claim: Claim, until: number): Promise<FollowStep | undefined> {
     const stored = await this.options.claims.answerOf(claim)
     if (!stored.ok) return ownerUnreachable(`the answer that the claim names cannot be read: ${stored.err.message}`, this.options.staleAfterMs)
     if (stored.value !== undefined) return { type: 'reply', reply: { type: 'answer', answer: stored.value } }
@@ -79,7 +79,7 @@
     return this.waitAtOwner(owner, claim, until)
   }
 
-  private ownStep (claim: Claim): FollowOutcome {
+  private ownStep (claim: Claim): FollowStep {
     const own = this.options.ownClaimState(claim)
     return own === 'local' ? { type: 'local' } : { type: own, claim }
   }
@@ -93,7 +93,7 @@
     return directory.find(entryId, incarnation)
   }
 
-  private async waitAtOwner (owner: EntryRecord, claim: Claim, until: number): Promise<FollowOutcome | undefined> {
+  private async waitAtOwner (owner: EntryRecord, claim: Claim, until: number): Promise<FollowStep | undefined> {
     const { clock, peers } = this.options
     const { workspace, submission, nonce } = claim.record
     const waitMs = Math.max(0, Math.min(PEER_WAIT_MS, until - clock.now()))
@@ -102,14 +102,14 @@
     return this.onPeerAnswer(res.value, claim, until)
   }
 
-  private onPeerAnswer ({ kind, answer }: AwaitResponse, claim: Claim, until: number): FollowOutcome | undefined {
+  private onPeerAnswer ({ kind, answer }: AwaitResponse, claim: Claim, until: number): FollowStep | undefined {
     if (answer !== undefined) return { type: 'reply', reply: { type: 'answer', answer } }
     if (kind === PEER_ANSWERS.released) return { type: 'released', claim }
     if (kind === PEER_ANSWERS.unknown) return { type: 'lost', claim }
     return this.options.clock.now() >= until ? { type: 'reply', reply: { type: 'pending' } } : undefined
   }
 
-  private async onOwnerUnreachable (claim: Claim, until: number): Promise<FollowOutcome | undefined> {
+  private async onOwnerUnreachable (claim: Claim, until: number): Promise<FollowStep | undefined> {
     const { clock, directory, staleAfterMs } = this.options
     const { ownerEntry, ownerIncarnation } = claim.record
     if (directory.isStale(ownerEntry, ownerIncarnation)) return { type: 'lost', claim }
--- a/packages/coordination/src/jobs/jobService.ts
+++ b/packages/coordination/src/jobs/jobService.ts
@@ -112,7 +112,7 @@
     const local = await this.replyFromMemory(key, hash, until)
     if (local !== undefined) return local
     const deadlineMs = spec.deadlineMs || this.options.defaultDeadlineMs
-    const admitted = this.admit(config, spec, deadlineMs)
+    const admitted = this.checkAdmission(config, spec, deadlineMs)
     if (admitted.type === 'refused') return this.refuseUnlessClaimed(workspace, spec, hash, until, admitted)
     const job: AdmittedJob = { workspace, spec, hash, decision: admitted.decision, deadlineMs }
     const outcome = await this.whileClaiming(key, this.claim(job))
@@ -153,7 +153,7 @@
     return this.attach(claim.value, undefined, until)
   }
 
-  private admit (config: WorkspaceConfig, spec: JobSpec, deadlineMs: number): ReturnType<Admission['check']> {
+  private checkAdmission (config: WorkspaceConfig, spec: JobSpec, deadlineMs: number): ReturnType<Admission['check']> {
     if (this.stopping) return refuse(REASONS.stopping, 'this entry is stopping', RUN_STATES.notRun, STORE_RETRY_MS)
     if (!this.options.mayClaim()) return refuse(REASONS.notReady, 'this entry is not known to all other entries yet', RUN_STATES.notRun, STORE_RETRY_MS)
     if (!this.options.isStoreUp()) return refuse(REASONS.storeDown, 'the table service does not answer', RUN_STATES.notRun, STORE_RETRY_MS)
--- a/packages/coordination/src/jobs/outageLookup.ts
+++ b/packages/coordination/src/jobs/outageLookup.ts
@@ -41,7 +41,7 @@
 const KNOWN_KINDS: ReadonlySet<string> = new Set([PEER_ANSWERS.final, PEER_ANSWERS.pending])
 
 /** True if the incarnation that was asked has answered itself, and remembers every answer of the window. */
-const provesUnknown = ({ incarnation, response }: PeerFinding): boolean =>
+const isReliableReply = ({ incarnation, response }: PeerFinding): boolean =>
   response?.incarnation === incarnation && response.memoryWhole
 
 /**
@@ -83,7 +83,7 @@
   }
 
   private runStateOf (findings: PeerFinding[], isEveryEntryKnown: boolean): RunState {
-    const isProved = isEveryEntryKnown && this.options.isMemoryWhole() && findings.every(provesUnknown)
+    const isProved = isEveryEntryKnown && this.options.isMemoryWhole() && findings.every(isReliableReply)
     return isProved ? RUN_STATES.notRun : RUN_STATES.mayHaveRun
   }
 
--- a/packages/coordination/src/tasks/taskHost.ts
+++ b/packages/coordination/src/tasks/taskHost.ts
@@ -130,7 +130,7 @@
    * @returns the tasks aborted
    */
   abortAll (): TaskKey[] {
-    const running = this.ledger.entries().filter(({ abort }) => abort !== undefined)
+    const running = this.ledger.records().filter(({ abort }) => abort !== undefined)
     for (const { abort } of running) abort?.(REASONS.stopCut)
     return running.map(({ key }) => key)
   }
--- a/packages/coordination/src/tasks/taskLedger.ts
+++ b/packages/coordination/src/tasks/taskLedger.ts
@@ -24,7 +24,7 @@
   /** Tasks that must never start. */
   revokedTasks: Set<number>
   /** True if no task of the submission may start. */
-  revoked: boolean
+  areAllRevoked: boolean
   /** Incarnation of the entry that took the claim over, if one did. */
   collector: string | undefined
   changedAt: number
@@ -63,7 +63,7 @@
   /** True if the task must not start. */
   isRevoked ({ workspace, submission, task }: TaskKey): boolean {
     const record = this.submissions.get(submissionKey(workspace, submission))
-    return record !== undefined && (record.revoked || record.revokedTasks.has(task))
+    return record !== undefined && (record.areAllRevoked || record.revokedTasks.has(task))
   }
 
   /** Incarnation of the entry that took the submission over, if one did. */
@@ -100,7 +100,7 @@
    */
   revoke (workspace: string, submission: string, tasks: number[]): TaskRecord[] {
     const record = this.touch(workspace, submission)
-    if (tasks.length === 0) record.revoked = true
+    if (tasks.length === 0) record.areAllRevoked = true
     for (const task of tasks) record.revokedTasks.add(task)
     const started = [...record.tasks.values()]
     return tasks.length === 0 ? started : started.filter(({ key }) => tasks.includes(key.task))
@@ -124,11 +124,11 @@
 
   /** Every remembered start that an entry's incarnation sent or took over. */
   startsOf (incarnation: string): TaskRecord[] {
-    return this.entries().filter(({ origin, recipient }) => origin === incarnation || recipient === incarnation)
+    return this.records().filter(({ origin, recipient }) => origin === incarnation || recipient === incarnation)
   }
 
   /** Every remembered start. */
-  entries (): TaskRecord[] {
+  records (): TaskRecord[] {
     return [...this.submissions.values()].flatMap(({ tasks }) => [...tasks.values()])
   }
 
@@ -156,7 +156,7 @@
       submission,
       tasks: new Map(),
       revokedTasks: new Set(),
-      revoked: false,
+      areAllRevoked: false,
       collector: undefined,
       changedAt: 0,
       rememberUntil: 0
