--- a/packages/coordination/src/jobs/claimFollower.ts
+++ b/packages/coordination/src/jobs/claimFollower.ts
@@ -88,7 +88,7 @@
     const { directory } = this.options
     const known = directory.find(entryId, incarnation)
     if (known !== undefined) return known
-    // The claim may be newer than the last read of the directory, and its owner too.
+    // The claim and its owner may be newer than the last read of the directory.
     await directory.refresh()
     return directory.find(entryId, incarnation)
   }
--- a/packages/coordination/src/jobs/outageLookup.test.ts
+++ b/packages/coordination/src/jobs/outageLookup.test.ts
@@ -8,7 +8,7 @@
 const FRESH_MS = 6000
 
 /** The conditions that must all hold for the reply "not run". */
-const PROVED = {
+const NOT_RUN_CONDITIONS = {
   sinceReadMs: 100,
   /** Age of the last read once the peers have answered. */
   sinceReadMsLater: 100,
@@ -20,7 +20,7 @@
   memoryWhole: true
 }
 
-const CASES: { name: string, facts: Partial<typeof PROVED>, run: string }[] = [
+const CASES: { name: string, facts: Partial<typeof NOT_RUN_CONDITIONS>, run: string }[] = [
   { name: 'all conditions hold', facts: {}, run: RUN_STATES.notRun },
   { name: 'the last read of the entries is too old', facts: { sinceReadMs: FRESH_MS, sinceReadMsLater: FRESH_MS }, run: RUN_STATES.mayHaveRun },
   { name: 'the last read was too old when the peers were listed, though a newer one followed', facts: { sinceReadMs: FRESH_MS }, run: RUN_STATES.mayHaveRun },
@@ -36,7 +36,7 @@
 // Guards against the reply "not run" for a submission that ran at an entry that was not
 // asked, did not answer, has ended since or has dropped the answer.
 test.each(CASES)('a submission that no entry knows is reported as "$run" if $name', async ({ facts, run }) => {
-  const all = { ...PROVED, ...facts }
+  const all = { ...NOT_RUN_CONDITIONS, ...facts }
   const directory = {
     others: [create(EntryRecordSchema, { entryId: 'entry-1', incarnation: 'incarnation-1', sessionAddress: '127.0.0.1:1' })],
     sinceReadMs: all.sinceReadMs,
--- a/packages/coordination/src/jobs/outageLookup.ts
+++ b/packages/coordination/src/jobs/outageLookup.ts
@@ -40,7 +40,7 @@
 
 const KNOWN_KINDS: ReadonlySet<string> = new Set([PEER_ANSWERS.final, PEER_ANSWERS.pending])
 
-/** True if the incarnation that was asked has answered itself, and remembers every answer of the window. */
+/** True if the incarnation that was asked answered itself and remembers every answer younger than `memoryMs`. */
 const isReliableReply = ({ incarnation, response }: PeerFinding): boolean =>
   response?.incarnation === incarnation && response.memoryWhole
 
--- a/packages/coordination/src/tasks/taskHostOptions.ts
+++ b/packages/coordination/src/tasks/taskHostOptions.ts
@@ -15,7 +15,7 @@
 export interface TaskHostOptions {
   clock: Clock
   runAttempt: RunAttempt
-  /** Credits that each entry has in addition to those for free slots. */
+  /** Credits that each entry holds in excess of the slots, so that its next task needs no message before it. */
   standingCredits: number
   /** Number of starts without a credit that may wait for a slot. */
   overflowQueue: number
--- a/packages/coordination/src/tasks/taskLedger.ts
+++ b/packages/coordination/src/tasks/taskLedger.ts
@@ -132,7 +132,7 @@
     return [...this.submissions.values()].flatMap(({ tasks }) => [...tasks.values()])
   }
 
-  /** Forgets submissions that have not changed for `memoryMs` and of which every start has ended. */
+  /** Forgets submissions of which every start has ended, once their time to be remembered has passed. */
   sweep (): void {
     const oldestAt = this.now() - this.memoryMs
     for (const [key, record] of this.submissions) {
--- a/packages/coordination/src/tasks/taskSessions.ts
+++ b/packages/coordination/src/tasks/taskSessions.ts
@@ -46,7 +46,7 @@
     this.sessions.set(incarnation, { add, endsElsewhere: new EndsElsewhereCounter(), sawLeaving: false })
   }
 
-  /** Closes the session of an entry; its results are kept for the next one. */
+  /** Closes the session of an entry; its unacknowledged results are stored for the next one. */
   end (incarnation: string): void {
     this.sessions.delete(incarnation)
   }
@@ -56,7 +56,7 @@
     return this.sessions.get(incarnation)?.add === add
   }
 
-  /** Handles the fields of an entry's frame that concern the session: acknowledgements and the seen leave. */
+  /** Handles the fields of an entry's frame that concern the session: what it has acknowledged, and whether it knows of the leave. */
   onFrame (incarnation: string, { sawLeaving, ackedSeq }: EntryFrame): void {
     const session = this.sessions.get(incarnation)
     if (session !== undefined) session.sawLeaving ||= sawLeaving
