--- a/packages/agent/src/startAgent.ts
+++ b/packages/agent/src/startAgent.ts
@@ -5,7 +5,7 @@
 import { TaskHost } from '@hazellift/coordination'
 import { ALL_ENTRIES } from '@hazellift/decisions'
 import type { AgentSettings, TaskResult } from '@hazellift/protocol'
-import { EntryDialer, Pulse, dialEntry } from '@hazellift/sessions'
+import { EntryDialer, KeepAliveMonitor, dialEntry } from '@hazellift/sessions'
 import { ulid } from 'ulid'
 import { AnnouncedEndpoint } from './endpoint/announcedEndpoint.js'
 import { createAgentServer } from './http/createAgentServer.js'
@@ -57,7 +57,7 @@
 const createDialer = (settings: AgentSettings, host: TaskHost): EntryDialer => {
   const { agentId, zone, clusterToken, keepAliveMs, sessionTimeoutMs: timeoutMs, seeds } = settings
   const times = { keepAliveMs, timeoutMs }
-  const options = { host, agentId, incarnation: ulid(), zone, clusterToken, pulse: new Pulse({ busy: times, idle: times }) }
+  const options = { host, agentId, incarnation: ulid(), zone, clusterToken, keepAliveMonitor: new KeepAliveMonitor({ busy: times, idle: times }) }
   return new EntryDialer({
     clock: systemClock,
     random: Math.random,
@@ -65,7 +65,7 @@
     score: (address) => rendezvousScore(agentId, address),
     limits: ALL_ENTRIES,
     seeds,
-    seedPaceMs: 0,
+    seedIntervalMs: 0,
     dial: (address, handle) => dialEntry(address, options, handle)
   })
 }
--- a/packages/coordination/src/jobs/admission.ts
+++ b/packages/coordination/src/jobs/admission.ts
@@ -135,7 +135,7 @@
       return refuseNotRun(REASONS.noEndpoint, `no endpoint serves '${spec.service}' now`, NO_ENDPOINT_RETRY_MS)
     }
     // A lower bound: the time that the workspace's tasks take if they have every slot to themselves.
-    const queuedTasks = service.queue.queuedOf(workspace) + spec.tasks.length
+    const queuedTasks = service.queue.queuedTasks(workspace) + spec.tasks.length
     const minMs = Math.ceil(queuedTasks / slots - 1) * service.health.meanMs
     if (minMs <= deadlineMs) return undefined
     const message = `${queuedTasks} tasks of the workspace on ${slots} slots take about ${Math.round(minMs)} ms, longer than the deadline allows`
--- a/packages/coordination/src/tasks/endsElsewhereCounter.ts
+++ b/packages/coordination/src/tasks/endsElsewhereCounter.ts
@@ -1,7 +1,7 @@
 import { create } from '@bufbuild/protobuf'
 import { EndsElsewhereSchema } from '@hazellift/protocol'
 import type { EndsElsewhere, TaskResult } from '@hazellift/protocol'
-import { VERDICTS, judgeResult } from '../health/judgeResult.js'
+import { ENDPOINT_VERDICTS, judgeResult } from '../health/judgeResult.js'
 
 /** Counts ended starts of other entries that one entry has not been notified of. */
 export class EndsElsewhereCounter {
@@ -10,9 +10,9 @@
   /** Counts a result that goes to another entry. */
   count (result: TaskResult): void {
     const verdict = judgeResult(result)
-    if (verdict === VERDICTS.none) return
+    if (verdict === ENDPOINT_VERDICTS.none) return
     this.ends ??= create(EndsElsewhereSchema)
-    if (verdict === VERDICTS.failed) {
+    if (verdict === ENDPOINT_VERDICTS.failed) {
       this.ends.failed++
       return
     }
--- a/packages/coordination/src/tasks/taskHost.ts
+++ b/packages/coordination/src/tasks/taskHost.ts
@@ -89,7 +89,7 @@
     // A frame of a closed session may hold starts that its entry has since sent to other agents.
     if (!this.sessions.isLatest(incarnation, add)) return
     this.sessions.onFrame(incarnation, frame)
-    if (frame.returnedCredits > 0) this.granter.returned(incarnation, frame.returnedCredits)
+    if (frame.returnedCredits > 0) this.granter.returnCredits(incarnation, frame.returnedCredits)
     for (const start of frame.starts) this.onStart(incarnation, start)
     for (const { workspace, submission, tasks } of frame.revokes) this.onRevoke(incarnation, workspace, submission, tasks)
     for (const collect of frame.collects) this.onCollect(incarnation, collect)
@@ -147,9 +147,9 @@
   }
 
   /** Fills in the fields that every frame has. */
-  stamp (incarnation: string, frame: AgentFrame): void {
+  fillFrame (incarnation: string, frame: AgentFrame): void {
     frame.stampMs = this.options.clock.now()
-    frame.free = this.granter.freeFor(incarnation)
+    frame.free = this.granter.freeSlotsFor(incarnation)
     const ends = this.sessions.takeEndsElsewhere(incarnation)
     if (ends !== undefined) frame.endsElsewhere = ends
   }
--- a/packages/coordination/src/tasks/taskSessions.ts
+++ b/packages/coordination/src/tasks/taskSessions.ts
@@ -1,6 +1,6 @@
 import type { Clock } from '@hazellift/common'
 import type { AgentFrame, EndsElsewhere, EntryFrame, TaskResult } from '@hazellift/protocol'
-import { VERDICTS, judgeResult } from '../health/judgeResult.js'
+import { ENDPOINT_VERDICTS, judgeResult } from '../health/judgeResult.js'
 import type { AddToFrame } from '../session/types.js'
 import { EndsElsewhereCounter } from './endsElsewhereCounter.js'
 import { Mailboxes } from './mailboxes.js'
@@ -89,7 +89,7 @@
    * judge the endpoint. Failures are reported at once, at the minimum interval.
    */
   countForOthers (recipient: string, result: TaskResult): void {
-    const isUrgent = judgeResult(result) === VERDICTS.failed && this.clock.now() - this.failureReportedAt >= FAILURE_REPORT_INTERVAL_MS
+    const isUrgent = judgeResult(result) === ENDPOINT_VERDICTS.failed && this.clock.now() - this.failureReportedAt >= FAILURE_REPORT_INTERVAL_MS
     if (isUrgent) this.failureReportedAt = this.clock.now()
     for (const [incarnation, { add, endsElsewhere }] of this.sessions) {
       if (incarnation === recipient) continue
--- a/packages/entry/src/createEntryParts.ts
+++ b/packages/entry/src/createEntryParts.ts
@@ -89,8 +89,8 @@
   maxRunningOf: (workspace) => admission().maxRunningOf(workspace),
   resumeWindowMs: settings.resumeWindowMs,
   collectTimeoutMs: COLLECT_TIMEOUT_MS,
-  setAsideShare: settings.setAsideShare,
-  setAsideBackoff: createBackoff(SET_ASIDE_BACKOFF, Math.random),
+  maxEjectedShare: settings.setAsideShare,
+  ejectionBackoff: createBackoff(SET_ASIDE_BACKOFF, Math.random),
   isEvacuated: (zone) => watch().isEvacuated(zone),
   defer: queueMicrotask
 })
@@ -130,7 +130,7 @@
   const metrics = createEntryMetrics(base)
   const stores = createStores(settings, metrics)
   const { table, objects, group, configStore } = stores
-  const watch = createWatch(settings, configStore, () => dispatcher.pumpAll())
+  const watch = createWatch(settings, configStore, () => dispatcher.scheduleAll())
   const directory = new EntryDirectory({
     table,
     group,
@@ -138,7 +138,7 @@
     self: () => ({ entryId, incarnation, apiAddress: addresses.api, sessionAddress: addresses.session }),
     heartbeatMs: settings.heartbeatMs,
     staleAfterMs: settings.staleAfterMs,
-    rowMemoryMs: settings.answerWindowMs,
+    rowRetentionMs: settings.answerWindowMs,
     configVersion: () => watch.version,
     onChange: onEntries
   })
@@ -212,7 +212,7 @@
   const base = createMetrics()
   const peers = new PeerClients(settings.clusterToken)
   const core = createCore(settings, identity, base, () => {
-    sessions.spreadEntries()
+    sessions.broadcastEntries()
     peers.keepOnly(new Set(core.directory.live.map(({ sessionAddress }) => sessionAddress)))
   })
   const { directory, dispatcher, watch, owned, claims, metrics, configStore } = core
@@ -225,10 +225,10 @@
     },
     entryId: identity.entryId,
     incarnation: identity.incarnation,
-    pulse: { busy: times, idle: times },
+    keepAlive: { busy: times, idle: times },
     entries: () => directory.serving.map(({ sessionAddress }) => ({ address: sessionAddress, zone: '' }))
   })
-  const announcement = new EntryAnnouncement({ clock, directory, introduce: peers.introduce, seenAfterMs: settings.staleAfterMs })
+  const announcement = new EntryAnnouncement({ clock, directory, introduce: peers.introduce, visibleAfterMs: settings.staleAfterMs })
   const jobs = createJobService(settings, identity, core, peers, announcement)
   const readiness = new Readiness({ clock, watch, dispatcher, directory, announcement, peers, warmUpMs: settings.heartbeatMs * WARM_UP_HEARTBEATS })
   const view = createView(identity, core, peers, readiness)
