--- a/packages/coordination/src/handoff/handOnPeer.ts
+++ b/packages/coordination/src/handoff/handOnPeer.ts
@@ -1,4 +1,4 @@
-import type { NeighbourView, OwnView } from '@hazellift/decisions'
+import type { NeighbourView, EntryLoadView } from '@hazellift/decisions'
 import type { CallerFrame, HandOnNews } from '@hazellift/protocol'
 import type { LeasedJob } from '../leased/leasedJob.js'
 import type { HandOnLink } from './types.js'
@@ -9,61 +9,61 @@
 }
 
 /** What was offered so lately may not be in its news yet. */
-const UNSEEN_MS = 100
+const REPORT_DELAY_MS = 100
 
 /** A neighbour that this entry may hand work to, on one stream. */
 export class HandOnPeer {
   /** Offers that it has, by their number. */
-  readonly out = new Map<number, LeasedJob>()
+  readonly offeredJobs = new Map<number, LeasedJob>()
   isOpen = true
   /** The neighbour's clock, as it said last. */
   stampMs = 0
   /** When its last frame was read, on this process's clock. */
-  heardAt: number
+  receivedAt: number
   /** When a frame left for it last. */
   echoedAt = -Infinity
-  private news: HandOnNews | undefined
-  private offers = 0
-  private unseen: Array<{ at: number, milli: number }> = []
+  private loadReport: HandOnNews | undefined
+  private offerCount = 0
+  private recentOffers: Array<{ at: number, milli: number }> = []
 
   constructor (readonly address: string, readonly zone: string, readonly link: HandOnLink<CallerFrame>, now: number) {
-    this.heardAt = now
+    this.receivedAt = now
   }
 
   /** A frame was read. */
-  onHeard (now: number, stampMs: number, news: HandOnNews | undefined): void {
-    this.heardAt = now
+  onReceived (now: number, stampMs: number, loadReport: HandOnNews | undefined): void {
+    this.receivedAt = now
     this.stampMs = Math.max(this.stampMs, stampMs)
-    if (news !== undefined) this.news = news
+    if (loadReport !== undefined) this.loadReport = loadReport
   }
 
   /** Takes an offer down; its number. */
-  add (job: LeasedJob, now: number): number {
-    this.unseen.push({ at: now, milli: job.count * job.need.cpuMilli })
-    this.out.set(++this.offers, job)
-    return this.offers
+  addOffer (job: LeasedJob, now: number): number {
+    this.recentOffers.push({ at: now, milli: job.count * job.need.cpuMilli })
+    this.offeredJobs.set(++this.offerCount, job)
+    return this.offerCount
   }
 
   /** The number under which it has the job. */
   offerOf (job: LeasedJob): number | undefined {
-    for (const [offer, other] of this.out) if (other === job) return offer
+    for (const [offer, other] of this.offeredJobs) if (other === job) return offer
     return undefined
   }
 
   /** What it told of itself, lately or not. */
   viewOf (service: string, now: number): PeerView {
-    this.unseen = this.unseen.filter(({ at }) => now - at < UNSEEN_MS)
-    const room = this.news?.rooms.find((other) => other.service === service)
-    const own: OwnView = { lagMs: this.news?.lagMs ?? 0, waitMs: room?.waitMs ?? 0 }
+    this.recentOffers = this.recentOffers.filter(({ at }) => now - at < REPORT_DELAY_MS)
+    const room = this.loadReport?.rooms.find((other) => other.service === service)
+    const own: EntryLoadView = { lagMs: this.loadReport?.lagMs ?? 0, waitMs: room?.waitMs ?? 0 }
     return {
       peer: this,
       zone: this.zone,
-      toldAt: this.heardAt,
+      receivedAt: this.receivedAt,
       isOpen: this.isOpen && room !== undefined,
-      isStopping: this.news?.stopping ?? false,
+      isStopping: this.loadReport?.stopping ?? false,
       ...own,
       freeMilli: room?.freeMilli ?? 0,
-      unseenMilli: this.unseen.reduce((sum, { milli }) => sum + milli, 0)
+      unreportedMilli: this.recentOffers.reduce((sum, { milli }) => sum + milli, 0)
     }
   }
 }
--- a/packages/coordination/src/handoff/handedOnJobs.ts
+++ b/packages/coordination/src/handoff/handedOnJobs.ts
@@ -1,18 +1,18 @@
 import type { Clock } from '@hazellift/common'
 import { handOn } from '@hazellift/decisions'
-import type { CallerView, HandOnLimits, KeepReason } from '@hazellift/decisions'
+import type { OriginView, HandOnLimits, KeepReason } from '@hazellift/decisions'
 import { HAND_ON_ENDS, REASONS } from '@hazellift/protocol'
 import type { CallerFrame, HandOnEnd, HostFrame, Reason } from '@hazellift/protocol'
 import { createLeasedJob } from '../leased/leasedJob.js'
 import type { LeasedJob, LeasedJobEnd, LeasedJobSpec } from '../leased/leasedJob.js'
-import { provedOverMs } from '../leased/times.js'
+import { terminationBoundMs } from '../leased/times.js'
 import type { LeaseTimes } from '../leased/times.js'
 import { submissionKey } from '../tasks/keys.js'
-import { ArrivalShare } from './arrivalShare.js'
+import { HandedOnShare } from './handedOnShare.js'
 import { HandOnPeer } from './handOnPeer.js'
 import type { PeerView } from './handOnPeer.js'
 import { encodeOffer, remainingSpec } from './offers.js'
-import { ShortWatch } from './shortWatch.js'
+import { OverloadWatch } from './overloadWatch.js'
 import type { HandOnLink, JobDispatcher } from './types.js'
 
 /** Why a job came back from the entry that it was handed to. */
@@ -20,8 +20,8 @@
 
 /** What handing on tells its owner, for logs and metrics. */
 export interface HandOnEvents {
-  handedOn: (job: LeasedJob, to: PeerView, gainMs: number, newsMs: number, own: CallerView) => void
-  kept: (reason: KeepReason) => void
+  handedOn: (job: LeasedJob, to: PeerView, gainMs: number, newsMs: number, own: OriginView) => void
+  notHandedOn: (reason: KeepReason) => void
   /** Its end was heard from the other entry, or its caller has gone. */
   ended: (job: LeasedJob, end: LeasedJobEnd) => void
   /** Nothing of it runs; it is placed here, or given up. */
@@ -35,27 +35,27 @@
   zone: string
   times: LeaseTimes
   dispatcher: JobDispatcher
-  own: () => CallerView
+  ownLoad: () => OriginView
   limits: () => HandOnLimits
   events: HandOnEvents
 }
 
 /** A neighbour that was silent for so long is given up: its jobs are of no use by then, and its news is old. */
-const SILENT_MS = 400
+const PEER_TIMEOUT_MS = 400
 /** The neighbour shows that it lives at a pace, and each time is answered; frames with ends between need no answer. */
-const ECHO_PACE_MS = 20
+const ECHO_INTERVAL_MS = 20
 /** Longer payloads cost more bytes than a job gains. */
 const MAX_PAYLOAD_CHARS = 8192
 /** Ends that say nothing of the job itself: it may run again once nothing of it runs. */
-const UNFINISHED: ReadonlySet<string> = new Set([REASONS.stopCut, REASONS.callerGone, REASONS.handOnLost])
+const UNFINISHED_REASONS: ReadonlySet<string> = new Set([REASONS.stopCut, REASONS.callerGone, REASONS.handOnLost])
 
 /** Its caller may send it again at once: nothing of it runs. */
-const LOST: LeasedJobEnd = { type: 'failed', reason: REASONS.handOnLost, message: 'the entry that it was handed to did not end it' }
+const HAND_ON_LOST: LeasedJobEnd = { type: 'failed', reason: REASONS.handOnLost, message: 'the entry that it was handed to did not end it' }
 
 /** A job whose neighbour was lost. */
-interface Unproved {
+interface TerminatingJob {
   job: LeasedJob
-  overAt: number
+  terminatedAt: number
 }
 
 /**
@@ -71,11 +71,11 @@
   private readonly peers = new Set<HandOnPeer>()
   /** Handed on and not proved over, by key. */
   private readonly jobs = new Map<string, LeasedJob>()
-  private readonly unproved = new Set<Unproved>()
+  private readonly terminating = new Set<TerminatingJob>()
   /** Jobs that came back, as they are dispatched here. */
-  private readonly inner = new Map<LeasedJob, LeasedJob>()
-  private readonly share = new ArrivalShare()
-  private readonly watch = new ShortWatch()
+  private readonly localJobs = new Map<LeasedJob, LeasedJob>()
+  private readonly handedOnShare = new HandedOnShare()
+  private readonly overloadWatch = new OverloadWatch()
 
   constructor (private readonly options: HandedOnJobsOptions) {}
 
@@ -85,8 +85,8 @@
   }
 
   /** True while streams to neighbours are called for. */
-  get wantsPeers (): boolean {
-    return this.options.limits().maxShare > 0 && this.watch.wantsPeers(this.options.clock.now())
+  get needsStreams (): boolean {
+    return this.options.limits().maxShare > 0 && this.overloadWatch.needsStreams(this.options.clock.now())
   }
 
   /** How long a task of such a job takes, as learned. */
@@ -96,13 +96,13 @@
     const { clock, dispatcher } = this.options
     const now = clock.now()
     const to = this.peers.size === 0 ? undefined : this.choose(spec, now)
-    this.share.add(to !== undefined, now)
+    this.handedOnShare.onArrival(to !== undefined, now)
     if (to === undefined) return dispatcher.submit(spec, onEnd)
     const job = createLeasedJob(spec, now, this.expectedMs(spec), onEnd)
-    this.watch.onHandedOn(now)
-    Object.assign(job, { queue: [], unproved: 1, mayHaveRun: job.count })
+    this.overloadWatch.onHandedOn(now)
+    Object.assign(job, { queue: [], unterminatedRuns: 1, mayHaveRun: job.count })
     this.jobs.set(job.key, job)
-    const offer = encodeOffer(to.add(job, now), spec)
+    const offer = encodeOffer(to.addOffer(job, now), spec)
     to.link.add((frame) => frame.offers.push(offer))
     return job
   }
@@ -114,7 +114,7 @@
 
   cancel (job: LeasedJob, reason: Reason, message: string): void {
     const { dispatcher } = this.options
-    if (this.jobs.get(job.key) !== job) return dispatcher.cancel(this.inner.get(job) ?? job, reason, message)
+    if (this.jobs.get(job.key) !== job) return dispatcher.cancel(this.localJobs.get(job) ?? job, reason, message)
     if (job.end !== undefined) return
     for (const peer of this.peers) {
       const offer = peer.offerOf(job)
@@ -125,15 +125,15 @@
 
   /** Looks at what time has changed; to be called a few tens of times a second. */
   sweep (now: number): void {
-    if (this.options.limits().maxShare > 0) this.watch.look(this.options.own(), now)
-    for (const peer of [...this.peers]) if (now - peer.heardAt > SILENT_MS) this.closed(peer)
+    if (this.options.limits().maxShare > 0) this.overloadWatch.observe(this.options.ownLoad(), now)
+    for (const peer of [...this.peers]) if (now - peer.receivedAt > PEER_TIMEOUT_MS) this.closed(peer)
     for (const job of [...this.jobs.values()]) {
       if (now >= job.deadlineAt) this.cancel(job, REASONS.deadline, 'the caller\'s deadline has passed')
     }
-    for (const lost of [...this.unproved]) {
-      if (now <= lost.overAt) continue
-      this.unproved.delete(lost)
-      this.release(lost.job, 'entry_lost')
+    for (const lost of [...this.terminating]) {
+      if (now <= lost.terminatedAt) continue
+      this.terminating.delete(lost)
+      this.reclaim(lost.job, 'entry_lost')
     }
   }
 
@@ -149,85 +149,85 @@
     if (!this.peers.delete(peer)) return
     peer.isOpen = false
     peer.link.close()
-    if (peer.out.size === 0) return
+    if (peer.offeredJobs.size === 0) return
     const { times, events, clock } = this.options
-    events.peerLost(peer.address, Math.round(clock.now() - peer.heardAt), peer.out.size)
-    for (const job of peer.out.values()) this.unproved.add({ job, overAt: peer.heardAt + provedOverMs(times) })
+    events.peerLost(peer.address, Math.round(clock.now() - peer.receivedAt), peer.offeredJobs.size)
+    for (const job of peer.offeredJobs.values()) this.terminating.add({ job, terminatedAt: peer.receivedAt + terminationBoundMs(times) })
   }
 
   onFrame (peer: HandOnPeer, { stampMs, ends, overs, news }: HostFrame): void {
     if (!peer.isOpen) return
     const now = this.options.clock.now()
-    peer.onHeard(now, stampMs, news)
-    if (now - peer.echoedAt >= ECHO_PACE_MS) peer.link.add(() => {})
+    peer.onReceived(now, stampMs, news)
+    if (now - peer.echoedAt >= ECHO_INTERVAL_MS) peer.link.add(() => {})
     for (const end of ends) this.onEnd(peer, end)
-    for (const offer of overs) this.onOver(peer, offer)
+    for (const offer of overs) this.onTerminated(peer, offer)
   }
 
   /** Fills in what every frame carries. */
-  stamp (peer: HandOnPeer, frame: CallerFrame): void {
+  fillFrame (peer: HandOnPeer, frame: CallerFrame): void {
     frame.echoStampMs = peer.stampMs
     peer.echoedAt = this.options.clock.now()
   }
 
   private choose (spec: LeasedJobSpec, now: number): HandOnPeer | undefined {
     if (spec.payload.length > MAX_PAYLOAD_CHARS || this.jobs.has(submissionKey(spec.workspace, spec.id))) return undefined
-    const { zone, own, limits, events } = this.options
+    const { zone, ownLoad: own, limits, events } = this.options
     const decision = handOn({ count: spec.count, needMilli: spec.count * spec.need.cpuMilli }, {
       now,
       zone,
-      isShort: this.watch.isShort(now),
+      isOverloaded: this.overloadWatch.isOverloaded(now),
       own: own(),
       neighbours: [...this.peers].map((peer) => peer.viewOf(spec.service, now)),
       outstanding: this.jobs.size,
-      share: this.share.read(now)
+      share: this.handedOnShare.read(now)
     }, limits())
     if (decision.type === 'keep') {
-      events.kept(decision.reason)
+      events.notHandedOn(decision.reason)
       return undefined
     }
-    events.handedOn(createLeasedJob(spec, now, this.expectedMs(spec), () => {}), decision.to, decision.gainMs, Math.round(now - decision.to.toldAt), own())
+    events.handedOn(createLeasedJob(spec, now, this.expectedMs(spec), () => {}), decision.to, decision.gainMs, Math.round(now - decision.to.receivedAt), own())
     return decision.to.peer
   }
 
-  private onEnd ({ out }: HandOnPeer, { offer, state, reason, message }: HandOnEnd): void {
+  private onEnd ({ offeredJobs: out }: HandOnPeer, { offer, state, reason, message }: HandOnEnd): void {
     const job = out.get(offer)
     if (job === undefined || job.end !== undefined) return
     if (state === HAND_ON_ENDS.complete) this.finish(job, { type: 'complete' })
-    else if (state === HAND_ON_ENDS.failed && !UNFINISHED.has(reason)) this.finish(job, { type: 'failed', reason: reason as Reason, message })
+    else if (state === HAND_ON_ENDS.failed && !UNFINISHED_REASONS.has(reason)) this.finish(job, { type: 'failed', reason: reason as Reason, message })
     else if (state === HAND_ON_ENDS.refused) job.mayHaveRun = 0
   }
 
-  private onOver ({ out }: HandOnPeer, offer: number): void {
+  private onTerminated ({ offeredJobs: out }: HandOnPeer, offer: number): void {
     const job = out.get(offer)
     out.delete(offer)
-    if (job !== undefined) this.release(job, job.mayHaveRun === 0 ? 'refused' : 'unfinished')
+    if (job !== undefined) this.reclaim(job, job.mayHaveRun === 0 ? 'refused' : 'unfinished')
   }
 
   /** Nothing of it runs at the neighbour any more, and nothing ever will. */
-  private release (job: LeasedJob, reason: ReturnReason): void {
+  private reclaim (job: LeasedJob, reason: ReturnReason): void {
     this.jobs.delete(job.key)
-    job.unproved = 0
-    if (job.end === undefined) this.placeHere(job, reason)
-    job.onOver?.()
-    job.onOver = undefined
+    job.unterminatedRuns = 0
+    if (job.end === undefined) this.placeLocally(job, reason)
+    job.onTerminated?.()
+    job.onTerminated = undefined
   }
 
-  private placeHere (job: LeasedJob, reason: ReturnReason): void {
+  private placeLocally (job: LeasedJob, reason: ReturnReason): void {
     const { clock, dispatcher, events } = this.options
     const now = clock.now()
     const isUntouched = reason === 'refused'
     // Nobody may have it under its key, and what has run is not begun anew for an answer of no use.
-    const isPlaced = dispatcher.find(job.key) === undefined && (isUntouched || now + job.expectedMs < job.uselessAt)
+    const isPlaced = dispatcher.find(job.key) === undefined && (isUntouched || now + job.expectedMs < job.expiresAt)
     events.returned(job, reason, isPlaced)
-    if (!isPlaced) return this.finish(job, LOST)
+    if (!isPlaced) return this.finish(job, HAND_ON_LOST)
     const inner = dispatcher.submit(remainingSpec(job, now - job.arrivedAt), (end) => {
-      this.inner.delete(job)
+      this.localJobs.delete(job)
       // A refusal says that nothing was started.
-      job.end = end.type === 'refused' && !isUntouched ? LOST : end
+      job.end = end.type === 'refused' && !isUntouched ? HAND_ON_LOST : end
       job.onEnd(job.end)
     })
-    if (inner.end === undefined) this.inner.set(job, inner)
+    if (inner.end === undefined) this.localJobs.set(job, inner)
   }
 
   private finish (job: LeasedJob, end: LeasedJobEnd): void {
--- a/packages/coordination/src/handoff/loopLag.test.ts
+++ b/packages/coordination/src/handoff/loopLag.test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from 'vitest'
-import { runsShort } from '@hazellift/decisions'
+import { isOverloaded } from '@hazellift/decisions'
 import { LoopLag } from './loopLag.js'
 
 const PACE_MS = 25
@@ -16,6 +16,6 @@
     const lag = new LoopLag(PACE_MS)
     let now = 0
     for (const pause of pauses) lag.onTick(now += PACE_MS + pause)
-    expect(runsShort({ lagMs: lag.ms, waitMs: 0 }, false)).toBe(isShort)
+    expect(isOverloaded({ lagMs: lag.ms, waitMs: 0 }, false)).toBe(isShort)
   })
 })
--- a/packages/coordination/src/handoff/offers.ts
+++ b/packages/coordination/src/handoff/offers.ts
@@ -1,19 +1,19 @@
 import { create } from '@bufbuild/protobuf'
 import { HandOnOfferSchema } from '@hazellift/protocol'
 import type { HandOnOffer } from '@hazellift/protocol'
-import type { Sponsor } from '../leased/heldEchoes.js'
+import type { OriginEntry } from '../leased/echoLimits.js'
 import type { LeasedJobSpec } from '../leased/leasedJob.js'
 
 /**
  * What is left of a job for which time has passed since it arrived.
  *
  * @param spec - as it arrived
- * @param passedMs - since then
+ * @param elapsedMs - since then
  */
-export const remainingSpec = (spec: LeasedJobSpec, passedMs: number): LeasedJobSpec => ({
+export const remainingSpec = (spec: LeasedJobSpec, elapsedMs: number): LeasedJobSpec => ({
   ...spec,
-  objective: { ...spec.objective, slackMs: spec.objective.slackMs - passedMs },
-  deadlineMs: Math.max(0, spec.deadlineMs - passedMs)
+  objective: { ...spec.objective, slackMs: spec.objective.slackMs - elapsedMs },
+  deadlineMs: Math.max(0, spec.deadlineMs - elapsedMs)
 })
 
 /** A job as the message that offers it to another entry. */
@@ -38,7 +38,7 @@
 })
 
 /** The job that a message offers. */
-export const decodeOffer = (offer: HandOnOffer, sponsor: Sponsor): LeasedJobSpec => ({
+export const decodeOffer = (offer: HandOnOffer, originEntry: OriginEntry): LeasedJobSpec => ({
   workspace: offer.workspace,
   id: offer.submission,
   requestId: offer.requestId,
@@ -52,5 +52,5 @@
   attempts: offer.attempts,
   objective: { stretch: offer.stretch, slackMs: offer.slackMs, lateFactor: offer.lateFactor },
   deadlineMs: offer.deadlineMs,
-  sponsor
+  originEntry: originEntry
 })
--- a/packages/coordination/src/handoff/shortWatch.test.ts
+++ b/packages/coordination/src/handoff/overloadWatch.test.ts
@@ -1,14 +1,14 @@
 import { describe, expect, it } from 'vitest'
-import { ShortWatch } from './shortWatch.js'
+import { OverloadWatch } from './overloadWatch.js'
 
 const SHORT = { lagMs: 40, waitMs: 0, returnedShare: 0 }
 const CALM = { lagMs: 0, waitMs: 0, returnedShare: 0 }
 const LOOK_MS = 25
 
 /** Looks at a pace until this moment, all the time the same. */
-const lookUntil = (watch: ShortWatch, own: typeof SHORT, from: number, until: number, act = (_now: number) => {}): void => {
+const lookUntil = (watch: OverloadWatch, own: typeof SHORT, from: number, until: number, act = (_now: number) => {}): void => {
   for (let now = from; now <= until; now += LOOK_MS) {
-    watch.look(own, now)
+    watch.observe(own, now)
     act(now)
   }
 }
@@ -23,18 +23,18 @@
     { name: 'then it tries again', own: SHORT, until: 13_000, expected: true }
   ]
   it.each(cases)('$name', ({ own, until, expected }) => {
-    const watch = new ShortWatch()
+    const watch = new OverloadWatch()
     lookUntil(watch, own, 0, until)
-    expect(watch.wantsPeers(until)).toBe(expected)
+    expect(watch.needsStreams(until)).toBe(expected)
   })
 
   it('streams that are of use stand while it is short, and some seconds more', () => {
-    const watch = new ShortWatch()
+    const watch = new OverloadWatch()
     lookUntil(watch, SHORT, 0, 8000, (now) => { if (now % 1000 === 0) watch.onHandedOn(now) })
-    expect(watch.wantsPeers(8000)).toBe(true)
+    expect(watch.needsStreams(8000)).toBe(true)
     lookUntil(watch, CALM, 8025, 12_000)
-    expect([watch.isShort(12_000), watch.wantsPeers(12_000)]).toEqual([false, true])
+    expect([watch.isOverloaded(12_000), watch.needsStreams(12_000)]).toEqual([false, true])
     lookUntil(watch, CALM, 12_025, 14_000)
-    expect(watch.wantsPeers(14_000)).toBe(false)
+    expect(watch.needsStreams(14_000)).toBe(false)
   })
 })
--- a/packages/coordination/src/leased/configCopy.ts
+++ b/packages/coordination/src/leased/configCopy.ts
@@ -21,7 +21,7 @@
    *
    * @returns true if it was taken
    */
-  offer (version: bigint, document: Uint8Array): boolean {
+  update (version: bigint, document: Uint8Array): boolean {
     if (version <= this.current.version) return false
     this.current = { version, document }
     return true
--- a/packages/coordination/src/leased/configExchange.test.ts
+++ b/packages/coordination/src/leased/configExchange.test.ts
@@ -9,7 +9,7 @@
 import { LeasedFleet } from './leasedFleet.js'
 import { LeasedSessions } from './leasedSessions.js'
 
-const TIMES = { authorityMs: 600, holdMs: 500, stopMs: 50, clockFactor: 1.02 }
+const TIMES = { entryLeaseMs: 600, runLeaseMs: 500, stopMs: 50, clockFactor: 1.02 }
 const SWEEP_MS = 25
 /** An agent with nothing to do is heard of this often. */
 const KEEP_ALIVE_MS = 150
@@ -37,7 +37,7 @@
 
   constructor (agents: number) {
     const { clock } = this
-    const fleet = new LeasedFleet({ clock, random: seededRandom(1), zone: 'z', setAsideShare: 0.4, setAsideBackoff: () => 1000 })
+    const fleet = new LeasedFleet({ clock, random: seededRandom(1), zone: 'z', maxEjectedShare: 0.4, ejectionBackoff: () => 1000 })
     this.sessions = new LeasedSessions({
       clock,
       times: TIMES,
@@ -70,7 +70,7 @@
   /** What is asked for leaves. */
   flush (isLinkStill = false): void {
     for (const [index, frame] of this.pending) {
-      this.sessions.stamp(this.agents[index]!, frame)
+      this.sessions.fillFrame(this.agents[index]!, frame)
       this.sent.push({ at: this.clock.now(), bytes: toBinary(EntryFrameSchema, frame).length, frame })
       if (frame.config.length > 0 && !isLinkStill) this.held[index] = frame.configVersion
     }
@@ -151,7 +151,7 @@
     sessions.onConfig(session, create(EntryFrameSchema, { configVersion: 2n, config: documentOf(2n) }))
     const frame = create(AgentFrameSchema)
     for (const change of changes) change(frame)
-    sessions.stamp('e', frame)
+    sessions.fillFrame('e', frame)
     expect(frame.config).toEqual(documentOf(frame.configVersion))
   })
 })
@@ -166,7 +166,7 @@
   ]
   it.each(waits)('$name', ({ own, isDoubted = false, beforeMs, asks }) => {
     const entry = new OneEntry(4)
-    entry.sessions.setConfigDoubt(isDoubted)
+    entry.sessions.setConfigUnconfirmed(isDoubted)
     if (own > 0n) entry.sessions.setConfig(own, documentOf(own))
     entry.held.fill(2n)
     entry.run(beforeMs)
--- a/packages/coordination/src/leased/configExchange.ts
+++ b/packages/coordination/src/leased/configExchange.ts
@@ -46,30 +46,30 @@
 
   /** A document came into force here. */
   setConfig (version: bigint, document: Uint8Array): void {
-    this.copy.offer(version, document)
+    this.copy.update(version, document)
   }
 
   /** The store may hold a newer document than it showed this entry: agents that tell of one are asked at once. */
-  setDoubt (isDoubted: boolean): void {
+  setUnconfirmed (isDoubted: boolean): void {
     this.isOwnDoubted = isDoubted
   }
 
   /** An agent told what it holds, or gave its document. */
   onFrame (agent: LeasedAgent, { configVersion, config }: AgentFrame): void {
-    agent.config.heldVersion = configVersion
-    if (config.length > 0 && this.copy.offer(configVersion, config)) this.options.onNewer(configVersion, config)
+    agent.config.replicaVersion = configVersion
+    if (config.length > 0 && this.copy.update(configVersion, config)) this.options.onNewer(configVersion, config)
     if (configVersion <= this.newest) return
     this.newest = configVersion
     this.newerSince = this.options.clock.now()
   }
 
   /** Fills in a frame as it leaves. */
-  stamp ({ config }: LeasedAgent, frame: EntryFrame): void {
+  fillFrame ({ config }: LeasedAgent, frame: EntryFrame): void {
     frame.configVersion = this.copy.version
-    frame.wantsConfig = config.isAsked
-    config.isAsked = false
-    if (!config.isDue) return
-    config.isDue = false
+    frame.wantsConfig = config.isRequestDue
+    config.isRequestDue = false
+    if (!config.isDocumentDue) return
+    config.isDocumentDue = false
     config.sentVersion = this.copy.version
     frame.config = this.copy.document
   }
@@ -84,22 +84,22 @@
   private sendToNext (now: number): void {
     this.lookedAt = now
     const { version } = this.copy
-    const keeper = this.keepers.find(({ config }) => config.heldVersion < version && config.sentVersion < version)
+    const keeper = this.keepers.find(({ config }) => config.replicaVersion < version && config.sentVersion < version)
     if (keeper === undefined) return
     this.sentAt = now
-    keeper.config.isDue = true
+    keeper.config.isDocumentDue = true
     keeper.link!.add(() => {})
   }
 
   /** Asks the agent that was asked longest ago. */
   private askNext (now: number): void {
     const [holder] = this.connected
-      .filter(({ config }) => config.heldVersion > this.copy.version)
-      .sort((a, b) => a.config.askedAt - b.config.askedAt)
+      .filter(({ config }) => config.replicaVersion > this.copy.version)
+      .sort((a, b) => a.config.requestedAt - b.config.requestedAt)
     if (holder === undefined) return
     this.askedAt = now
-    holder.config.askedAt = now
-    holder.config.isAsked = true
+    holder.config.requestedAt = now
+    holder.config.isRequestDue = true
     holder.link!.add(() => {})
   }
 
@@ -109,6 +109,6 @@
 
   /** The same agents for all entries that know them, so that few hold a copy. */
   private get keepers (): LeasedAgent[] {
-    return this.connected.sort((a, b) => b.config.keeperScore - a.config.keeperScore).slice(0, KEEPERS)
+    return this.connected.sort((a, b) => b.config.replicaScore - a.config.replicaScore).slice(0, KEEPERS)
   }
 }
--- a/packages/coordination/src/leased/describeEnd.ts
+++ b/packages/coordination/src/leased/describeEnd.ts
@@ -1,6 +1,6 @@
 import { REASONS, TASK_OUTCOMES } from '@hazellift/protocol'
 import type { Reason, TaskOutcome } from '@hazellift/protocol'
-import type { AttemptOver } from './heldTask.js'
+import type { AttemptOutcome } from './inFlightRun.js'
 import { RUN_ENDS } from './types.js'
 
 /** How an attempt ended, as its result tells. */
@@ -18,7 +18,7 @@
 } as const
 
 /** Turns what an agent has proved into what it tells the task's entry. */
-export const describeEnd = (over: AttemptOver): EndDescription => {
+export const describeEnd = (over: AttemptOutcome): EndDescription => {
   switch (over.type) {
     case 'not_started': return { outcome: TASK_OUTCOMES.notStarted, reason: over.reason, hasRun: false }
     case 'lost': return { outcome: TASK_OUTCOMES.failed, reason: over.reason, hasRun: true }
--- a/packages/coordination/src/leased/heldEchoes.test.ts
+++ b/packages/coordination/src/leased/echoLimits.test.ts
@@ -1,8 +1,8 @@
 import { create } from '@bufbuild/protobuf'
 import { HelloSchema } from '@hazellift/protocol'
 import { describe, expect, it } from 'vitest'
-import { HeldEchoes } from './heldEchoes.js'
-import type { Sponsor } from './heldEchoes.js'
+import { EchoLimits } from './echoLimits.js'
+import type { OriginEntry } from './echoLimits.js'
 import { LeasedAgent } from './leasedAgent.js'
 import { createLeasedJob } from './leasedJob.js'
 import type { LeasedJob } from './leasedJob.js'
@@ -10,15 +10,15 @@
 /** The agent's clock is this much ahead of the entry's. */
 const AHEAD_MS = 10_000
 
-const jobOf = (sponsor: Sponsor | undefined): LeasedJob => createLeasedJob({
-  workspace: 'w', id: 'j', requestId: '', service: 's', payload: '', count: 1, need: { cpuMilli: 1, memoryMb: 1 }, estimateMs: 1, kind: 'k', priority: 0, attempts: 1, objective: { stretch: 1, slackMs: 0, lateFactor: 1 }, deadlineMs: 1000, sponsor
+const jobOf = (sponsor: OriginEntry | undefined): LeasedJob => createLeasedJob({
+  workspace: 'w', id: 'j', requestId: '', service: 's', payload: '', count: 1, need: { cpuMilli: 1, memoryMb: 1 }, estimateMs: 1, kind: 'k', priority: 0, attempts: 1, objective: { stretch: 1, slackMs: 0, lateFactor: 1 }, deadlineMs: 1000, originEntry: sponsor
 }, 0, 1, () => {})
 
 /** An entry that has read frames of an agent at these moments. */
 const readAt = (moments: number[], { isUsed = true } = {}) => {
-  const echoes = new HeldEchoes()
-  const sponsor: Sponsor = { aliveAt: -Infinity }
-  if (isUsed) echoes.begin(sponsor)
+  const echoes = new EchoLimits()
+  const sponsor: OriginEntry = { aliveAt: -Infinity }
+  if (isUsed) echoes.addOrigin(sponsor)
   const agent = new LeasedAgent(create(HelloSchema, { agentId: 'a', incarnation: 'i', zone: 'z' }))
   for (const at of moments) {
     agent.stampMs = at + AHEAD_MS
@@ -40,8 +40,8 @@
   it.each(echoCases)('$name', ({ aliveAt, isOut, isUsed = true, now = 300, expected }) => {
     const { echoes, sponsor, agent } = readAt([100, 200, 300], { isUsed })
     sponsor.aliveAt = aliveAt
-    if (isOut) agent.sent.set('t', { job: jobOf(sponsor), index: 0, attempt: 0, sentAt: 0, life: '' })
-    expect(echoes.echo(agent, now)).toBe(expected + AHEAD_MS)
+    if (isOut) agent.sent.set('t', { job: jobOf(sponsor), index: 0, attempt: 0, sentAt: 0, endpointIncarnation: '' })
+    expect(echoes.stampToEcho(agent, now)).toBe(expected + AHEAD_MS)
   })
 
   const startCases: Array<{ name: string, aliveAt: number, echoedAt: number, now?: number, isOwn?: boolean, expected: boolean }> = [
@@ -60,10 +60,10 @@
 
   it('what was echoed once counts for the life of the agent\'s process', () => {
     const { echoes, sponsor, agent } = readAt([100, 200, 300])
-    echoes.end(sponsor)
-    expect(echoes.echo(agent, 300)).toBe(300 + AHEAD_MS)
+    echoes.removeOrigin(sponsor)
+    expect(echoes.stampToEcho(agent, 300)).toBe(300 + AHEAD_MS)
     sponsor.aliveAt = 300
-    echoes.begin(sponsor)
+    echoes.addOrigin(sponsor)
     agent.connect({ add: () => {}, acknowledge: () => {}, close: () => {} }, 310)
     expect(agent.echoedStampMs).toBe(300 + AHEAD_MS)
   })
--- a/packages/coordination/src/leased/heldEchoes.ts
+++ b/packages/coordination/src/leased/echoLimits.ts
@@ -2,7 +2,7 @@
 import type { LeasedJob } from './leasedJob.js'
 
 /** Another entry for which this one runs jobs. */
-export interface Sponsor {
+export interface OriginEntry {
   /** It was surely alive at this moment of this process's clock. */
   aliveAt: number
 }
@@ -22,18 +22,18 @@
  * sponsor lived, and its authority ends as soon after the sponsor's death as if
  * the sponsor itself had ordered the start.
  */
-export class HeldEchoes {
-  private readonly open = new Set<Sponsor>()
+export class EchoLimits {
+  private readonly open = new Set<OriginEntry>()
   private isUsed = false
 
   /** From now on jobs of this entry may come; echoes are held back so that they can be started. */
-  begin (sponsor: Sponsor): void {
+  addOrigin (sponsor: OriginEntry): void {
     this.open.add(sponsor)
     this.isUsed = true
   }
 
   /** None come any more; those that are out still hold echoes back. */
-  end (sponsor: Sponsor): void {
+  removeOrigin (sponsor: OriginEntry): void {
     this.open.delete(sponsor)
   }
 
@@ -43,28 +43,28 @@
   }
 
   /** The stamp to echo with a frame that leaves now. */
-  echo (agent: LeasedAgent, now: number): number {
+  stampToEcho (agent: LeasedAgent, now: number): number {
     const stampMs = this.isUsed ? this.limited(agent, now) : agent.stampMs
     agent.echoedStampMs = Math.max(agent.echoedStampMs, stampMs)
     return stampMs
   }
 
   /** True if a start of the job may be sent to the agent. */
-  mayStart ({ sponsor }: Pick<LeasedJob, 'sponsor'>, agent: LeasedAgent, now: number): boolean {
+  mayStart ({ originEntry: sponsor }: Pick<LeasedJob, 'sponsor'>, agent: LeasedAgent, now: number): boolean {
     if (sponsor === undefined) return true
     if (now - sponsor.aliveAt > FRESH_MS) return false
-    const held = agent.stamps.readBy(sponsor.aliveAt)
-    return held !== undefined && now - held.readAt <= MAX_HELD_MS && agent.echoedStampMs <= held.stampMs
+    const held = agent.stamps.receivedBy(sponsor.aliveAt)
+    return held !== undefined && now - held.receivedAt <= MAX_HELD_MS && agent.echoedStampMs <= held.stampMs
   }
 
   private limited (agent: LeasedAgent, now: number): number {
     let limit = agent.stampMs
     for (const { aliveAt } of this.open) {
-      const held = now - aliveAt <= FRESH_MS ? agent.stamps.readBy(aliveAt) : undefined
-      if (held !== undefined && now - held.readAt <= MAX_HELD_MS) limit = Math.min(limit, held.stampMs)
+      const held = now - aliveAt <= FRESH_MS ? agent.stamps.receivedBy(aliveAt) : undefined
+      if (held !== undefined && now - held.receivedAt <= MAX_HELD_MS) limit = Math.min(limit, held.stampMs)
     }
     for (const { job } of agent.sent.values()) {
-      if (job.sponsor !== undefined) limit = Math.min(limit, agent.stamps.readBy(job.sponsor.aliveAt)?.stampMs ?? 0)
+      if (job.originEntry !== undefined) limit = Math.min(limit, agent.stamps.receivedBy(job.originEntry.aliveAt)?.stampMs ?? 0)
     }
     return limit
   }
--- a/packages/coordination/src/leased/endpointLife.test.ts
+++ b/packages/coordination/src/leased/endpointSupervisor.test.ts
@@ -2,10 +2,10 @@
 import { createFakeClock } from '../../tests/fakeClock.js'
 import { CAPACITY, FakeEndpoint } from '../../tests/leased/fakeEndpoint.js'
 import type { CallFault } from '../../tests/leased/fakeEndpoint.js'
-import { EndpointLife } from './endpointLife.js'
+import { EndpointSupervisor } from './endpointSupervisor.js'
 import { MAX_LIMIT_MS } from './responseTimes.js'
 
-const TIMES = { authorityMs: 600, holdMs: 500, stopMs: 50, clockFactor: 1.02 }
+const TIMES = { entryLeaseMs: 600, runLeaseMs: 500, stopMs: 50, clockFactor: 1.02 }
 /** A caller that has learned that answers take a millisecond or two. */
 const CALL_LIMIT_MS = 10
 const NEED = { cpuMilli: 1000, memoryMb: 64 }
@@ -22,8 +22,8 @@
   const clock = createFakeClock()
   const endpoint = new FakeEndpoint(clock, () => NEED.cpuMilli, callLimitMs)
   endpoint.runMs = runMs
-  const life = new EndpointLife({
-    clock, endpoint, capacity: CAPACITY, times: TIMES, waitMs: 100, beforeHold: () => {}, mayStart: () => mayStart, onRoom: () => {}, onOpen: () => {}, endReason: () => 'endpoint_crashed', onGone: () => {}, log: () => {}
+  const life = new EndpointSupervisor({
+    clock, endpoint, capacity: CAPACITY, times: TIMES, pollWaitMs: 100, beforeRenewal: () => {}, mayStart: () => mayStart, onCapacityFreed: () => {}, onReady: () => {}, endReason: () => 'endpoint_crashed', onGone: () => {}, log: () => {}
   })
   const advance = async (ms: number): Promise<void> => {
     for (let passed = 0; passed < ms; passed += STEP_MS) {
@@ -45,7 +45,7 @@
   const meet = (call: Call, faults: CallFault[]): void => {
     endpoint.fault = (name) => name === call ? faults.shift() ?? 'none' : 'none'
   }
-  const runsOf = (submission: string) => [...endpoint.past, ...endpoint.open].filter((run) => run.submission === submission)
+  const runsOf = (submission: string) => [...endpoint.endedRuns, ...endpoint.openRuns].filter((run) => run.submission === submission)
   /** Nothing may be started from now on. */
   const forbidStarts = (): void => { mayStart = false }
   return { clock, endpoint, advance, start, meet, runsOf, forbidStarts }
@@ -65,7 +65,7 @@
     const task = start('a')
     await advance(4000)
     expect(runsOf('a')).toHaveLength(1)
-    expect(runsOf('a')[0]!.from).toBeLessThanOrEqual(20)
+    expect(runsOf('a')[0]!.startedAt).toBeLessThanOrEqual(20)
     expect(task.told?.type).toBe('ended')
   })
 
@@ -141,11 +141,11 @@
     const task = start('a')
     await advance(100)
     endpoint.fault = () => 'lost'
-    const before = endpoint.calls.hold
+    const before = endpoint.calls.poll
     await advance(16_000)
     expect(task.told).toEqual({ type: 'lost', at: expect.any(Number) })
     expect(task.told!.at).toBeLessThanOrEqual(100 + 1100)
-    expect(endpoint.calls.hold - before).toBeLessThan(60)
+    expect(endpoint.calls.poll - before).toBeLessThan(60)
   })
 
   it('stops of starts that a silent endpoint left unanswered wait until it answers, and are sent then', async () => {
--- a/packages/coordination/src/leased/endpointLifeOptions.ts
+++ b/packages/coordination/src/leased/endpointSupervisorOptions.ts
@@ -5,23 +5,23 @@
 import type { LeasedEndpoint } from './types.js'
 
 /** What a life needs. */
-export interface EndpointLifeOptions {
+export interface EndpointSupervisorOptions {
   clock: Clock
   endpoint: LeasedEndpoint
   capacity: Resources
   times: LeaseTimes
   /** How long the answer to a hold may wait for an end. */
-  waitMs: number
+  pollWaitMs: number
   /** Called before each hold: runs without authority must be stopped before they are held on. */
-  beforeHold: () => void
+  beforeRenewal: () => void
   /** True while what runs is looked at only, and not held on. */
-  isDoubtful?: () => boolean
+  isUnverified?: () => boolean
   /** False while nothing may be started; an order that was not answered is not repeated then. */
   mayStart: () => boolean
   /** The room changed. */
-  onRoom: () => void
+  onCapacityFreed: () => void
   /** Nothing of an earlier agent runs any more; starts are taken from now on. */
-  onOpen: () => void
+  onReady: () => void
   /** Why runs are lost whose life has ended by itself. */
   endReason: () => Reason
   /** Another life of the endpoint has answered. */
--- a/packages/coordination/src/leased/evacuationExchange.ts
+++ b/packages/coordination/src/leased/evacuationExchange.ts
@@ -39,7 +39,7 @@
   }
 
   /** Fills in a frame as it leaves. */
-  stamp (agent: LeasedAgent, frame: EntryFrame): void {
+  fillFrame (agent: LeasedAgent, frame: EntryFrame): void {
     const { list } = this.options
     frame.evacuationsVersion = list.version
     if (agent.evacuationsVersion >= list.version) return
@@ -51,7 +51,7 @@
   private offer (evacuations: Pick<Evacuations, 'version' | 'zones'>, origin: EvacuationOrigin): void {
     const { list, agents, onChange } = this.options
     const before = new Set(list.zones)
-    if (!list.offer(evacuations)) return
+    if (!list.update(evacuations)) return
     onChange(origin)
     for (const { zone, link } of agents()) if (before.has(zone) !== list.has(zone)) link?.add(() => {})
   }
--- a/packages/coordination/src/leased/evacuationList.ts
+++ b/packages/coordination/src/leased/evacuationList.ts
@@ -31,7 +31,7 @@
    *
    * @returns true if other zones are evacuated now than before
    */
-  offer ({ version, zones }: Pick<Evacuations, 'version' | 'zones'>): boolean {
+  update ({ version, zones }: Pick<Evacuations, 'version' | 'zones'>): boolean {
     if (version <= this.version) return false
     const before = this.current.zones
     const after = new Set(zones)
--- a/packages/coordination/src/leased/findStragglers.ts
+++ b/packages/coordination/src/leased/findStragglers.ts
@@ -1,4 +1,4 @@
-import type { Move } from '@hazellift/decisions'
+import type { MoveRun } from '@hazellift/decisions'
 import type { LeasedAgent, SentRun } from './leasedAgent.js'
 import type { LeasedFleet } from './leasedFleet.js'
 import type { RunTimes } from './runTimes.js'
@@ -16,9 +16,9 @@
  * @param now - on the clock that the sending times were read from
  * @param move - decides on a run by itself
  */
-export const findStragglers = (fleet: LeasedFleet, runTimes: RunTimes, now: number, move: Move): Straggler[] => {
+export const findStragglers = (fleet: LeasedFleet, runTimes: RunTimes, now: number, move: MoveRun): Straggler[] => {
   const isStraggler = ({ slowness }: LeasedAgent, { job, sentAt }: SentRun): boolean => move({
-    ranMs: now - sentAt,
+    elapsedMs: now - sentAt,
     expectedMs: job.expectedMs,
     longestRunMs: job.longestRunMs,
     usualMs: runTimes.expect(job.kind, 0),
@@ -27,7 +27,7 @@
   return [...fleet.agents.values()].flatMap((agent) => [...agent.sent.values()]
     .filter((sent) => {
       const { job, index } = sent
-      const { isMoving, avoid } = job.tasks[index]!
+      const { isMoving, avoidedAgents: avoid } = job.tasks[index]!
       if (job.end !== undefined || isMoving || avoid.size > 0) return false
       return isStraggler(agent, sent) && fleet.choose(job, index, { except: agent }) !== undefined
     })
--- a/packages/coordination/src/leased/hostEndpoint.ts
+++ b/packages/coordination/src/leased/hostEndpoint.ts
@@ -2,43 +2,43 @@
 import type { Resources } from '@hazellift/decisions'
 import { REASONS } from '@hazellift/protocol'
 import type { EndpointState, Reason } from '@hazellift/protocol'
-import { describeLife } from './describeLife.js'
-import { EndpointLife } from './endpointLife.js'
-import type { AnnouncedLife, LeasedHostOptions } from './leasedHostOptions.js'
+import { describeIncarnation } from './describeIncarnation.js'
+import { EndpointSupervisor } from './endpointSupervisor.js'
+import type { AnnouncedIncarnation, LeasedHostOptions } from './leasedHostOptions.js'
 
 /** What the endpoint of a host needs. */
 export interface HostEndpointOptions extends Pick<LeasedHostOptions, 'times' | 'holdWaitMs' | 'log'> {
   clock: Clock
   /** Called before each hold: runs without authority must be stopped before they are held on. */
-  beforeHold: () => void
+  beforeRenewal: () => void
   /** True while what runs is looked at only, and not held on. */
-  isDoubtful: () => boolean
+  isUnverified: () => boolean
   /** False while nothing may be started. */
   mayStart: () => boolean
   /** The room changed. */
-  onRoom: () => void
+  onCapacityFreed: () => void
   /** Entries must hear of the endpoint. */
   onChange: () => void
   /** Nothing that waits can start any more. */
   onRemoved: () => void
   /** Tasks that run or wait here. */
-  busy: () => number
+  busyCount: () => number
 }
 
-const NO_ROOM: Resources = { cpuMilli: 0, memoryMb: 0 }
+const NO_CAPACITY: Resources = { cpuMilli: 0, memoryMb: 0 }
 
 const isEqual = (one: Resources, other: Resources): boolean => one.cpuMilli === other.cpuMilli && one.memoryMb === other.memoryMb
 
 /** The endpoint beside an agent: which life of it is served, with what capacity, and how lives end. */
 export class HostEndpoint {
-  private current: EndpointLife | undefined
-  private announced: AnnouncedLife | undefined
-  private hasLeft = false
+  private current: EndpointSupervisor | undefined
+  private announced: AnnouncedIncarnation | undefined
+  private draining = false
 
   constructor (private readonly options: HostEndpointOptions) {}
 
   /** The life that is served. */
-  get life (): EndpointLife | undefined {
+  get supervisor (): EndpointSupervisor | undefined {
     return this.current
   }
 
@@ -49,38 +49,38 @@
 
   /** All that it has, as it told last. */
   get capacity (): Resources {
-    return this.announced?.capacity ?? NO_ROOM
+    return this.announced?.capacity ?? NO_CAPACITY
   }
 
   /** True once the life has said that it leaves. */
   get isDraining (): boolean {
-    return this.hasLeft
+    return this.draining
   }
 
   /** What entries are told: of a life once it takes starts, as then nothing that an earlier agent left runs any more. */
   get state (): EndpointState {
-    return describeLife(this.current?.takesStarts === true ? this.announced : undefined)
+    return describeIncarnation(this.current?.acceptsStarts === true ? this.announced : undefined)
   }
 
   /** A new life; everything of an earlier one is over. */
-  begin (announced: AnnouncedLife): void {
-    const { clock, times, holdWaitMs, log, beforeHold, isDoubtful, mayStart, onRoom, onChange } = this.options
+  begin (announced: AnnouncedIncarnation): void {
+    const { clock, times, pollWaitMs: holdWaitMs, log, beforeRenewal: beforeHold, isUnverified: isDoubtful, mayStart, onCapacityFreed: onRoom, onChange } = this.options
     this.remove(REASONS.endpointCrashed)
     this.announced = announced
-    this.hasLeft = false
-    this.current = new EndpointLife({
+    this.draining = false
+    this.current = new EndpointSupervisor({
       clock,
       times,
       log,
-      beforeHold,
-      isDoubtful,
+      beforeRenewal: beforeHold,
+      isUnverified: isDoubtful,
       mayStart,
-      onRoom,
+      onCapacityFreed: onRoom,
       endpoint: announced.endpoint,
       capacity: announced.capacity,
-      waitMs: holdWaitMs,
+      pollWaitMs: holdWaitMs,
       endReason: () => this.endReasonOf(REASONS.endpointCrashed),
-      onOpen: onChange,
+      onReady: onChange,
       onGone: () => this.remove(REASONS.endpointCrashed)
     })
   }
@@ -90,23 +90,23 @@
     const { announced, current } = this
     if (announced === undefined || current === undefined || isEqual(announced.capacity, capacity)) return
     this.options.log('capacity_changed', {
-      endpoint: announced.incarnation, cpuBefore: announced.capacity.cpuMilli, cpu: capacity.cpuMilli, memoryBefore: announced.capacity.memoryMb, memory: capacity.memoryMb, running: current.busy
+      endpoint: announced.incarnation, cpuBefore: announced.capacity.cpuMilli, cpu: capacity.cpuMilli, memoryBefore: announced.capacity.memoryMb, memory: capacity.memoryMb, running: current.inFlightCount
     })
     this.announced = { ...announced, capacity }
-    current.left.setCapacity(capacity)
-    if (current.takesStarts) this.options.onChange()
-    this.options.onRoom()
+    current.remaining.setCapacity(capacity)
+    if (current.acceptsStarts) this.options.onChange()
+    this.options.onCapacityFreed()
   }
 
   /** It says that it leaves. */
   drain (): void {
-    this.hasLeft = true
+    this.draining = true
   }
 
   /** It ended, or must get no more work. */
   remove (why: Reason): void {
     if (this.announced === undefined) return
-    const { log, busy, onRemoved, onChange } = this.options
+    const { log, busyCount: busy, onRemoved, onChange } = this.options
     const reason = this.endReasonOf(why)
     log('endpoint_removed', { endpoint: this.announced.incarnation, reason, tasks: busy() })
     const life = this.current
@@ -119,6 +119,6 @@
 
   /** A life that had said that it leaves ends as planned, however it ends. */
   private endReasonOf (why: Reason): Reason {
-    return this.hasLeft && why === REASONS.endpointCrashed ? REASONS.endpointGone : why
+    return this.draining && why === REASONS.endpointCrashed ? REASONS.endpointGone : why
   }
 }
--- a/packages/coordination/src/leased/hostEvacuations.ts
+++ b/packages/coordination/src/leased/hostEvacuations.ts
@@ -28,7 +28,7 @@
   onFrame ({ evacuations }: EntryFrame): void {
     if (evacuations === undefined) return
     const before = this.isEvacuated
-    this.list.offer(evacuations)
+    this.list.update(evacuations)
     if (this.isEvacuated !== before) this.options.onChange()
   }
 
@@ -37,7 +37,7 @@
    *
    * @param knownVersion - as the entry's latest frame told; unset before its first
    */
-  stamp (frame: AgentFrame, knownVersion: bigint | undefined): void {
+  fillFrame (frame: AgentFrame, knownVersion: bigint | undefined): void {
     frame.evacuationsVersion = this.list.version
     if (knownVersion !== undefined && knownVersion < this.list.version) frame.evacuations = this.list.toMessage()
   }
--- a/packages/coordination/src/leased/hostSessions.ts
+++ b/packages/coordination/src/leased/hostSessions.ts
@@ -11,14 +11,14 @@
 export interface LeasedSession {
   add: AddToFrame
   /** Priority of the first task that waits at the entry; unset while none does. */
-  wantingPriority: number | undefined
+  demandPriority: number | undefined
   /** Room that the entry was told last. */
-  told: Resources
+  reportedCapacity: Resources
   /** Starts that arrived on this session. */
   startsSeen: number
-  toldStartsSeen: number
+  reportedStartsSeen: number
   /** The next frame carries the configuration document. */
-  owesConfig: boolean
+  isConfigDue: boolean
   /** Version of the entry's list of evacuated zones; unset before its first frame. */
   evacuationsVersion: bigint | undefined
   /** Results that the next frame carries. */
@@ -29,11 +29,11 @@
 
 const newSession = (add: AddToFrame): LeasedSession => ({
   add,
-  wantingPriority: undefined,
-  told: { cpuMilli: 0, memoryMb: 0 },
+  demandPriority: undefined,
+  reportedCapacity: { cpuMilli: 0, memoryMb: 0 },
   startsSeen: 0,
-  toldStartsSeen: 0,
-  owesConfig: false,
+  reportedStartsSeen: 0,
+  isConfigDue: false,
   evacuationsVersion: undefined,
   results: [],
   isRetired: false
@@ -102,14 +102,14 @@
    *
    * @param isUrgent - false if the entry cannot do anything with it yet: it waits for the next frame, or a moment
    */
-  tellResult (incarnation: string, result: TaskResult, isUrgent: boolean): void {
+  reportResult (incarnation: string, result: TaskResult, isUrgent: boolean): void {
     this.mailboxes.put(incarnation, result)
     const session = this.open.get(incarnation)
     if (session === undefined) return
     const isFirst = session.results.length === 0
     session.results.push(result)
     // An entry with tasks that wait counts on what ends: it is told at once.
-    if (isUrgent || session.wantingPriority !== undefined) session.add(() => {})
+    if (isUrgent || session.demandPriority !== undefined) session.add(() => {})
     else if (isFirst) this.clock.after(RESULT_WAIT_MS, () => { if (session.results.length > 0) session.add(() => {}) })
   }
 
@@ -118,7 +118,7 @@
   }
 
   /** Tells an entry, or all of them, of the endpoint. */
-  tellEndpoint (endpoint: EndpointState, leaving: boolean, incarnations: Iterable<string> = this.open.keys()): void {
+  reportEndpoint (endpoint: EndpointState, leaving: boolean, incarnations: Iterable<string> = this.open.keys()): void {
     for (const incarnation of incarnations) {
       const session = this.open.get(incarnation)
       session?.add((frame) => Object.assign(frame, { endpoint, leaving: leaving || session.isRetired }))
@@ -132,32 +132,32 @@
   }
 
   /** Sends each entry a fresh stamp, at once. */
-  askForEchoes (): void {
+  requestEchoes (): void {
     for (const { add } of this.open.values()) add(() => {})
   }
 
   /** No start is taken any more. */
-  tellLeaving (): void {
+  reportLeaving (): void {
     for (const { add } of this.open.values()) add((frame) => { frame.leaving = true })
   }
 
   /** Takes a newer document from an entry, and owes ours to one that wants it. */
   onConfig (session: LeasedSession, { configVersion, config, wantsConfig }: EntryFrame): void {
-    if (config.length > 0) this.config.offer(configVersion, config)
+    if (config.length > 0) this.config.update(configVersion, config)
     if (!wantsConfig) return
-    session.owesConfig = true
+    session.isConfigDue = true
     session.add(() => {})
   }
 
   /** Adds what a frame tells of the sessions and the configuration, as it leaves: a document must go with its own version. */
-  stamp (incarnation: string, frame: AgentFrame): void {
+  fillFrame (incarnation: string, frame: AgentFrame): void {
     frame.entries = this.open.size
     frame.configVersion = this.config.version
     const session = this.open.get(incarnation)
     if (session === undefined) return
     frame.results.push(...session.results.splice(0))
-    if (!session.owesConfig) return
-    session.owesConfig = false
+    if (!session.isConfigDue) return
+    session.isConfigDue = false
     frame.config = this.config.document
   }
 
--- a/packages/coordination/src/leased/heldTask.ts
+++ b/packages/coordination/src/leased/inFlightRun.ts
@@ -3,7 +3,7 @@
 import type { RunEnd, RunRef } from './types.js'
 
 /** How an attempt ended, as far as this agent can prove. */
-export type AttemptOver =
+export type AttemptOutcome =
   /** The start is proved void. */
   | { type: 'not_started', reason: Reason }
   | { type: 'ended', how: RunEnd }
@@ -11,16 +11,16 @@
   | { type: 'lost', reason: Reason }
 
 /** A task that was ordered at the endpoint and is not proved to be over. */
-export interface HeldTask extends RunRef {
+export interface InFlightRun extends RunRef {
   payload: string
   need: Resources
   /** Set once somebody wants its end; it counts against the room until the end is listed. */
   stopReason: Reason | undefined
   /** Holds sent after this one prove by its absence that it is over; unset while its order is unanswered. */
-  settledAtHold: number | undefined
+  resolvedAtPoll: number | undefined
   startedAt: number
-  onOver: (over: AttemptOver) => void
+  onTerminated: (over: AttemptOutcome) => void
 }
 
 /** A task's name at its endpoint, whatever the run. */
-export const nameOf = ({ submission, index }: Pick<RunRef, 'submission' | 'index'>): string => `${submission}.${index}`
+export const taskNameOf = ({ submission, index }: Pick<RunRef, 'submission' | 'index'>): string => `${submission}.${index}`
--- a/packages/coordination/src/leased/leasedAdmission.ts
+++ b/packages/coordination/src/leased/leasedAdmission.ts
@@ -1,5 +1,5 @@
 import { assertNever } from '@hazellift/common'
-import { forecastWait, workLeft } from '@hazellift/decisions'
+import { forecastWait, queuedWork } from '@hazellift/decisions'
 import type { LoadView, Policy } from '@hazellift/decisions'
 import { REASONS } from '@hazellift/protocol'
 import type { LeasedFleet } from './leasedFleet.js'
@@ -50,14 +50,14 @@
  * @param load - what this entry serves
  * @param policy - the decisions
  */
-export const findHopeless = (jobs: LeasedJob[], now: number, load: LoadView, policy: Pick<Policy, 'giveUp' | 'retryAfter'>): Array<{ job: LeasedJob, end: LeasedJobEnd }> => {
+export const findJobsToShed = (jobs: LeasedJob[], now: number, load: LoadView, policy: Pick<Policy, 'giveUp' | 'retryAfter'>): Array<{ job: LeasedJob, end: LeasedJobEnd }> => {
   let all = 0
   const ownWork = new Map<number, number>()
   return jobs.flatMap((job) => {
     const own = ownWork.get(job.priority) ?? 0
     const waitMs = forecastWait({ all, own }, job.priority, load)
     if (policy.giveUp(job, now, waitMs)) return [{ job, end: overload(`no room in time: about ${Math.round(waitMs)} ms more`, job, load, policy) }]
-    const work = workLeft(job)
+    const work = queuedWork(job)
     all += work
     ownWork.set(job.priority, own + work)
     return []
--- a/packages/coordination/src/leased/leasedAgent.ts
+++ b/packages/coordination/src/leased/leasedAgent.ts
@@ -12,23 +12,23 @@
   attempt: number
   sentAt: number
   /** Life of the endpoint there, as the agent had told. */
-  life: string
+  endpointIncarnation: string
 }
 
 /** What passed between an entry and an agent of configuration documents. */
-export interface AgentConfig {
+export interface ConfigExchangeState {
   /** The agents with the highest keep copies. */
-  readonly keeperScore: number
+  readonly replicaScore: number
   /** As the agent said last. */
-  heldVersion: bigint
+  replicaVersion: bigint
   /** Sent on this session. */
   sentVersion: bigint
   /** The next frame carries the document. */
-  isDue: boolean
+  isDocumentDue: boolean
   /** The next frame asks for the agent's document. */
-  isAsked: boolean
+  isRequestDue: boolean
   /** When it was asked last. */
-  askedAt: number
+  requestedAt: number
 }
 
 const KEEPER_KEY = 'config'
@@ -45,7 +45,7 @@
   readonly zone: string
   service = ''
   /** Life of the endpoint; empty until the agent has proved that nothing else runs there. */
-  endpoint = ''
+  endpointIncarnation = ''
   capacity = NO_ROOM
   link: AgentLink | undefined
   /** False until the agent told what it holds. */
@@ -58,7 +58,7 @@
   /** The highest stamp echoed to this process of it, on any session. */
   echoedStampMs = 0
   /** When its last frame was read. */
-  heardAt = 0
+  receivedAt = 0
   /** When it was last echoed to the agent. */
   echoedAt = 0
   /** Run times at its endpoint lately against the expected ones, as the agent sees those of all entries. */
@@ -66,12 +66,12 @@
   /** Entries that share its endpoint, as it said last. */
   entryCount = 1
   /** The agent was told that tasks wait here. */
-  knowsWanting = false
-  readonly config: AgentConfig
+  knowsDemand = false
+  readonly config: ConfigExchangeState
   /** Version of the list of evacuated zones that it has, or that was sent on this session. */
   evacuationsVersion = 0n
   /** The agent has told of its endpoint on this session. */
-  private hasToldEndpoint = false
+  private hasReportedEndpoint = false
   readonly sent = new Map<string, SentRun>()
   private told = NO_ROOM
   private startsSeen = 0
@@ -85,12 +85,12 @@
     this.incarnation = incarnation
     this.zone = zone
     this.config = {
-      keeperScore: rendezvousScore(agentId, KEEPER_KEY), heldVersion: 0n, sentVersion: 0n, isDue: false, isAsked: false, askedAt: -Infinity
+      replicaScore: rendezvousScore(agentId, KEEPER_KEY), replicaVersion: 0n, sentVersion: 0n, isDocumentDue: false, isRequestDue: false, requestedAt: -Infinity
     }
   }
 
   /** What can be sent on top of everything sent before. */
-  get room (): Resources {
+  get freeCapacity (): Resources {
     return this.left
   }
 
@@ -98,11 +98,11 @@
   connect (link: AgentLink, now: number): void {
     this.link?.close()
     this.link = link
-    this.heardAt = now
+    this.receivedAt = now
     this.isResumed = false
-    this.hasToldEndpoint = false
-    this.knowsWanting = false
-    Object.assign(this.config, { heldVersion: 0n, sentVersion: 0n, isDue: false, isAsked: false })
+    this.hasReportedEndpoint = false
+    this.knowsDemand = false
+    Object.assign(this.config, { replicaVersion: 0n, sentVersion: 0n, isDocumentDue: false, isRequestDue: false })
     this.evacuationsVersion = 0n
     this.told = NO_ROOM
     this.startsSeen = 0
@@ -111,7 +111,7 @@
   }
 
   /** The agent told its room. */
-  setRoom ({ cpuMilli, memoryMb, startsSeen }: Room): void {
+  setFreeCapacity ({ cpuMilli, memoryMb, startsSeen }: Room): void {
     this.unseen.splice(0, startsSeen - this.startsSeen)
     this.startsSeen = startsSeen
     this.told = { cpuMilli, memoryMb }
@@ -119,14 +119,14 @@
   }
 
   /** True if this is the life that the session has told of already, perhaps with another capacity. */
-  isSameLife ({ service, incarnation }: EndpointState): boolean {
-    return this.hasToldEndpoint && service !== '' && service === this.service && incarnation === this.endpoint
+  isSameIncarnation ({ service, incarnation }: EndpointState): boolean {
+    return this.hasReportedEndpoint && service !== '' && service === this.service && incarnation === this.endpointIncarnation
   }
 
   setEndpoint ({ service, incarnation, capacity }: EndpointState): void {
-    this.hasToldEndpoint = true
+    this.hasReportedEndpoint = true
     this.service = service
-    this.endpoint = incarnation
+    this.endpointIncarnation = incarnation
     this.capacity = capacity ?? NO_ROOM
     if (service !== '') return
     this.told = NO_ROOM
--- a/packages/coordination/src/leased/leasedDispatcher.ts
+++ b/packages/coordination/src/leased/leasedDispatcher.ts
@@ -1,9 +1,9 @@
 import { create } from '@bufbuild/protobuf'
-import { workLeft } from '@hazellift/decisions'
+import { queuedWork } from '@hazellift/decisions'
 import { REASONS, RevokeSchema, TASK_OUTCOMES } from '@hazellift/protocol'
 import type { Reason, TaskResult } from '@hazellift/protocol'
 import { findStragglers } from './findStragglers.js'
-import { findHopeless, findRefusal } from './leasedAdmission.js'
+import { findJobsToShed, findRefusal } from './leasedAdmission.js'
 import type { LeasedAgent, SentRun } from './leasedAgent.js'
 import type { LeasedDispatcherOptions } from './leasedDispatcherOptions.js'
 import { LeasedFleet } from './leasedFleet.js'
@@ -95,7 +95,7 @@
   submit (spec: LeasedJobSpec, onEnd: (end: LeasedJobEnd) => void): LeasedJob {
     const { clock } = this.options
     const job = createLeasedJob(spec, clock.now(), this.expectedMs(spec), onEnd)
-    this.fleet.serviceOf(job.service).load.onAsked(job.priority, workLeft(job))
+    this.fleet.serviceOf(job.service).load.onArrived(job.priority, queuedWork(job))
     const refusal = this.suspects.endOf(job) ?? (this.isJoining ? undefined : findRefusal(job, this.fleet, this.fleet.loadOf(job.service), this.fleet.policy))
     if (refusal === undefined) this.take(job)
     else this.finish(job, refusal)
@@ -105,7 +105,7 @@
   private take (job: LeasedJob): void {
     this.jobs.set(job.key, job)
     const { queue, load } = this.fleet.serviceOf(job.service)
-    load.onTaken(job.priority, workLeft(job))
+    load.onAdmitted(job.priority, queuedWork(job))
     queue.add(job)
     this.sender.schedule(job.service)
   }
@@ -143,7 +143,7 @@
     const ratio = runMs / Math.max(1, this.runTimes.expect(job.kind, job.estimateMs))
     this.fleet.healthOf(agent)?.succeeded(agent.agentId, ratio * EXPECTED_SCALE_MS)
     this.runTimes.observe(job.kind, job.estimateMs, runMs)
-    job.unproved--
+    job.unterminatedRuns--
     job.longestRunMs = Math.max(job.longestRunMs, runMs)
     job.tasks[index]!.state = LEASED_TASK_STATES.done
     job.doneCount++
@@ -154,7 +154,7 @@
   private onNotStarted (agent: LeasedAgent, { job, index }: SentRun, reason: Reason): void {
     if (TURNED_AWAY.has(reason)) {
       this.fleet.healthOf(agent)?.failed(agent.agentId)
-      job.tasks[index]!.avoid.add(agent.agentId)
+      job.tasks[index]!.avoidedAgents.add(agent.agentId)
     }
     job.mayHaveRun--
     this.fleet.serviceOf(job.service).load.onStarted(job.priority, -job.need.cpuMilli * job.expectedMs)
@@ -167,14 +167,14 @@
     const { job, index } = sent
     const task = job.tasks[index]!
     task.attempt++
-    if (task.isMoving) task.avoid.add(agent.agentId)
+    if (task.isMoving) task.avoidedAgents.add(agent.agentId)
     const end = this.suspects.onFailed(agent, sent, reason)
     if (end !== undefined) this.finish(job, end)
     // Of other ends neither the task nor its endpoint is at fault.
     if (reason !== REASONS.endpointError) return this.requeue(agent, job, index, reason)
     this.fleet.healthOf(agent)?.failed(agent.agentId)
     task.failures++
-    task.avoid.add(agent.agentId)
+    task.avoidedAgents.add(agent.agentId)
     if (task.failures >= job.attempts && job.end === undefined) {
       this.finish(job, { type: 'failed', reason: REASONS.taskFailed, message: `task ${index} failed ${task.failures} times` })
     }
@@ -184,7 +184,7 @@
   /** An order is over and its task is not done. */
   private requeue (agent: LeasedAgent, job: LeasedJob, index: number, reason: Reason): void {
     const task = job.tasks[index]!
-    job.unproved--
+    job.unterminatedRuns--
     task.state = LEASED_TASK_STATES.queued
     task.isMoving = false
     if (job.end !== undefined) return this.forgetIfOver(job)
@@ -206,10 +206,10 @@
   /** Refuses what waits and will not begin in time, by what is ahead of it now. */
   private giveUp (service: string, now: number): void {
     const { queue, load } = this.fleet.serviceOf(service)
-    load.onLook(queue.size > 0)
+    load.recordWaiting(queue.size > 0)
     if (queue.size === 0) return
     const view = this.fleet.loadOf(service)
-    for (const { job, end } of findHopeless(queue.inOrder(now, view), now, view, this.fleet.policy)) this.finish(job, end)
+    for (const { job, end } of findJobsToShed(queue.inOrder(now, view), now, view, this.fleet.policy)) this.finish(job, end)
   }
 
   /** Stops runs that take far longer than others of their kind, so that they can run elsewhere. */
@@ -230,7 +230,7 @@
 
   private finish (job: LeasedJob, end: LeasedJobEnd): void {
     if (job.end !== undefined) return
-    if (end.type === 'refused') this.fleet.serviceOf(job.service).load.onRefused(job.priority, workLeft(job))
+    if (end.type === 'refused') this.fleet.serviceOf(job.service).load.onRefused(job.priority, queuedWork(job))
     job.end = end
     job.queue = []
     this.fleet.services.get(job.service)?.queue.remove(job)
@@ -247,9 +247,9 @@
   }
 
   private forgetIfOver (job: LeasedJob): void {
-    if (job.end === undefined || job.unproved > 0) return
+    if (job.end === undefined || job.unterminatedRuns > 0) return
     if (this.jobs.get(job.key) === job) this.jobs.delete(job.key)
-    job.onOver?.()
-    job.onOver = undefined
+    job.onTerminated?.()
+    job.onTerminated = undefined
   }
 }
--- a/packages/coordination/src/leased/leasedFleet.test.ts
+++ b/packages/coordination/src/leased/leasedFleet.test.ts
@@ -25,7 +25,7 @@
   agent.isResumed = true
   agent.slowness = slowness
   agent.setEndpoint(create(EndpointStateSchema, { service: 's', incarnation: agentId, capacity: { cpuMilli: 10 * TASK_CPU, memoryMb: 9999 } }))
-  agent.setRoom(create(RoomSchema, { cpuMilli: rooms * TASK_CPU, memoryMb: 9999 }))
+  agent.setFreeCapacity(create(RoomSchema, { cpuMilli: rooms * TASK_CPU, memoryMb: 9999 }))
   return agent
 }
 
@@ -34,7 +34,7 @@
 
 const fleetOf = (places: Record<string, Place>, seed = 1): LeasedFleet => {
   const clock = createFakeClock()
-  const fleet = new LeasedFleet({ clock, random: seededRandom(Math.imul(seed, SEED_STEP)), zone: 'here', setAsideShare: 0.4, setAsideBackoff: () => 1000 })
+  const fleet = new LeasedFleet({ clock, random: seededRandom(Math.imul(seed, SEED_STEP)), zone: 'here', maxEjectedShare: 0.4, ejectionBackoff: () => 1000 })
   for (const [id, place] of Object.entries(places)) {
     fleet.agents.set(id, agentOf(id, place, clock.now()))
     fleet.serviceOf('s').health.add(id)
@@ -91,6 +91,6 @@
   ]
   it.each(nearCases)('tasks of one job $name', ({ rooms, expected }) => {
     const fleet = fleetOf({ near: { rooms }, other: { rooms: 9 } })
-    expect(fleet.choose(JOB, 1, { near: fleet.agents.get('near') })!.agentId).toBe(expected)
+    expect(fleet.choose(JOB, 1, { preferred: fleet.agents.get('near') })!.agentId).toBe(expected)
   })
 })
--- a/packages/coordination/src/leased/leasedFleet.ts
+++ b/packages/coordination/src/leased/leasedFleet.ts
@@ -1,9 +1,9 @@
 import type { Clock, Random } from '@hazellift/common'
-import { POLICY, calmest, isBelowFloor } from '@hazellift/decisions'
+import { POLICY, leastLoaded, isBelowFloor } from '@hazellift/decisions'
 import type { LoadView, PlaceContext, Policy } from '@hazellift/decisions'
 import { EndpointHealth } from '../health/endpointHealth.js'
 import { EvacuationList } from './evacuationList.js'
-import { HeldEchoes } from './heldEchoes.js'
+import { EchoLimits } from './echoLimits.js'
 import type { LeasedAgent } from './leasedAgent.js'
 import type { LeasedJob } from './leasedJob.js'
 import { LeasedQueue } from './leasedQueue.js'
@@ -14,11 +14,11 @@
   queue: LeasedQueue
   load: LoadRecord
   health: EndpointHealth
-  isPumpDue: boolean
+  isSendScheduled: boolean
   /** When agents were asked for room last. */
-  askedAt: number
+  capacityRequestedAt: number
   /** The load as it was worked out last. */
-  view: { load: LoadView, at: number } | undefined
+  cachedLoad: { load: LoadView, at: number } | undefined
 }
 
 /** What the fleet needs. */
@@ -26,8 +26,8 @@
   clock: Clock
   random: Random
   zone: string
-  setAsideShare: number
-  setAsideBackoff: (times: number) => number
+  maxEjectedShare: number
+  ejectionBackoff: (times: number) => number
   /** Decisions in place of the product's, for measurements. */
   policy?: Policy
 }
@@ -42,7 +42,7 @@
 /** Limits of a choice. */
 export interface ChooseOptions {
   except?: LeasedAgent
-  near?: LeasedAgent | undefined
+  preferred?: LeasedAgent | undefined
 }
 
 /** Agents that an entry knows, and where among them a task goes. */
@@ -54,7 +54,7 @@
   readonly evacuations = new EvacuationList()
 
   /** Which stamps agents are echoed while jobs of other entries run here. */
-  readonly echoes = new HeldEchoes()
+  readonly echoLimits = new EchoLimits()
 
   /** When the latest endpoint was heard of. */
   private joinedAt = -Infinity
@@ -62,9 +62,9 @@
   constructor (private readonly options: LeasedFleetOptions) {}
 
   /** Endpoints were heard of, or may be used again. */
-  onJoined (): void {
+  onEndpointsChanged (): void {
     this.joinedAt = this.options.clock.now()
-    for (const service of this.services.values()) service.view = undefined
+    for (const service of this.services.values()) service.cachedLoad = undefined
   }
 
   /** The decisions. */
@@ -82,10 +82,10 @@
   serviceOf (name: string): LeasedService {
     const known = this.services.get(name)
     if (known !== undefined) return known
-    const { clock, setAsideShare, setAsideBackoff } = this.options
+    const { clock, maxEjectedShare: setAsideShare, ejectionBackoff: setAsideBackoff } = this.options
     const { order, setAside } = this.policy
-    const health = new EndpointHealth({ now: clock.now, maxShare: setAsideShare, backoff: setAsideBackoff, setAside })
-    const service = { queue: new LeasedQueue(order), load: new LoadRecord(clock.now), health, isPumpDue: false, askedAt: -Infinity, view: undefined }
+    const health = new EndpointHealth({ now: clock.now, maxEjectedShare: setAsideShare, ejectionBackoff: setAsideBackoff, eject: setAside })
+    const service = { queue: new LeasedQueue(order), load: new LoadRecord(clock.now), health, isSendScheduled: false, capacityRequestedAt: -Infinity, cachedLoad: undefined }
     this.services.set(name, service)
     return service
   }
@@ -127,8 +127,8 @@
   loadOf (name: string): LoadView {
     const service = this.serviceOf(name)
     const now = this.options.clock.now()
-    if (service.view === undefined || now - service.view.at > LOAD_AGE_MS) service.view = { load: this.workOutLoad(name), at: now }
-    return service.view.load
+    if (service.cachedLoad === undefined || now - service.cachedLoad.at > LOAD_AGE_MS) service.cachedLoad = { load: this.workOutLoad(name), at: now }
+    return service.cachedLoad.load
   }
 
   private workOutLoad (service: string): LoadView {
@@ -142,9 +142,9 @@
   }
 
   /** The priority with which this entry wants room at the service's endpoints, if any task waits. */
-  wantingPriority (name: string): number | undefined {
+  demandPriority (name: string): number | undefined {
     const service = this.services.get(name)
-    return service === undefined || service.queue.size === 0 ? undefined : service.queue.wantingPriority(this.options.clock.now(), this.loadOf(name))
+    return service === undefined || service.queue.size === 0 ? undefined : service.queue.demandPriority(this.options.clock.now(), this.loadOf(name))
   }
 
   /**
@@ -152,20 +152,20 @@
    *
    * @param near - taken if it is among the best, as starts that travel together cost one message
    */
-  choose (job: LeasedJob, index: number, { except, near }: ChooseOptions = {}): LeasedAgent | undefined {
+  choose (job: LeasedJob, index: number, { except, preferred: near }: ChooseOptions = {}): LeasedAgent | undefined {
     const { zone, clock, random } = this.options
-    const { avoid, isSuspect } = job.tasks[index]!
+    const { avoidedAgents: avoid, isSuspect } = job.tasks[index]!
     const agents = this.agentsOf(job.service).filter((agent) => agent.isResumed && agent !== except)
     const isAvoided = ({ agentId }: LeasedAgent): boolean => avoid.has(agentId)
     const context: PlaceContext<LeasedAgent> = {
       now: clock.now(),
       zone,
       random,
-      maySend: (agent) => this.healthOf(agent)?.maySend(agent.agentId) === true && this.echoes.mayStart(job, agent, clock.now()),
+      maySend: (agent) => this.healthOf(agent)?.maySend(agent.agentId) === true && this.echoLimits.mayStart(job, agent, clock.now()),
       isAvoided,
-      near
+      preferred: near
     }
-    const calm = isSuspect ? this.policy.place(calmest(agents, job.need, { isAvoided, hasSuspect }), job, context) : undefined
+    const calm = isSuspect ? this.policy.place(leastLoaded(agents, job.need, { isAvoided, hasSuspect }), job, context) : undefined
     return calm ?? this.policy.place(agents, job, context)
   }
 }
--- a/packages/coordination/src/leased/leasedHost.ts
+++ b/packages/coordination/src/leased/leasedHost.ts
@@ -4,18 +4,18 @@
 import { REASONS, TASK_OUTCOMES, TaskKeySchema, TaskResultSchema } from '@hazellift/protocol'
 import type { AgentFrame, EntryFrame, LeasedStart, Reason, Revoke, TaskKey, TaskOutcome } from '@hazellift/protocol'
 import type { SessionHost, AddToFrame } from '../session/types.js'
-import { Authorities } from './authorities.js'
+import { EntryLeases } from './entryLeases.js'
 import { HostEndpoint } from './hostEndpoint.js'
 import { HostEvacuations } from './hostEvacuations.js'
 import { HostSessions } from './hostSessions.js'
 import { HostTasks } from './hostTasks.js'
 import type { OwnedTask } from './hostTasks.js'
-import type { AnnouncedLife, LeasedHostOptions } from './leasedHostOptions.js'
-import { RoomOffers } from './roomOffers.js'
+import type { AnnouncedIncarnation, LeasedHostOptions } from './leasedHostOptions.js'
+import { CapacityOffers } from './capacityOffers.js'
 import { SpeedRecord } from './speedRecord.js'
-import { doubtMs } from './times.js'
+import { verificationMs } from './times.js'
 
-const NO_ROOM: Resources = { cpuMilli: 0, memoryMb: 0 }
+const NO_CAPACITY: Resources = { cpuMilli: 0, memoryMb: 0 }
 
 /**
  * An agent's side of jobs that are not kept. It runs tasks of an entry only
@@ -24,8 +24,8 @@
  */
 export class LeasedHost implements SessionHost {
   private readonly sessions: HostSessions
-  private readonly authorities: Authorities
-  private readonly offers: RoomOffers
+  private readonly entryLeases: EntryLeases
+  private readonly offers: CapacityOffers
   private readonly evacuations: HostEvacuations
   private speed: SpeedRecord
   private readonly tasks: HostTasks
@@ -34,40 +34,40 @@
 
   constructor (private readonly options: LeasedHostOptions) {
     this.sessions = new HostSessions(options.clock)
-    this.authorities = new Authorities({
+    this.entryLeases = new EntryLeases({
       clock: options.clock,
       watch: options.watch ?? new SuspensionWatch(options.clock),
-      authorityMs: options.times.authorityMs,
-      doubtMs: doubtMs(options.times),
+      entryLeaseMs: options.times.entryLeaseMs,
+      verificationMs: verificationMs(options.times),
       isOpen: (incarnation) => this.sessions.open.has(incarnation),
-      onDoubt: () => this.sessions.askForEchoes(),
-      onLapse: () => this.lapse()
+      onUnverified: () => this.sessions.requestEchoes(),
+      onExpired: () => this.stopExpired()
     })
-    this.offers = new RoomOffers({
-      ...options, sessions: this.sessions.open, room: () => this.room, capacity: () => this.endpoint.capacity
+    this.offers = new CapacityOffers({
+      ...options, sessions: this.sessions.open, freeCapacity: () => this.freeCapacity, capacity: () => this.endpoint.capacity
     })
     this.endpoint = new HostEndpoint({
       ...options,
-      beforeHold: () => this.lapse(),
-      isDoubtful: () => this.isDoubtful,
-      mayStart: () => !this.isClosed && !this.isDoubtful,
-      onRoom: () => this.onRoom(),
-      onChange: () => this.tellEndpoint(),
+      beforeRenewal: () => this.stopExpired(),
+      isUnverified: () => this.hasUnverifiedRuns,
+      mayStart: () => !this.isClosedToStarts && !this.hasUnverifiedRuns,
+      onCapacityFreed: () => this.onCapacityFreed(),
+      onChange: () => this.reportEndpoint(),
       onRemoved: () => this.tasks.refuse(() => true, REASONS.endpointGone),
-      busy: () => this.busy
+      busyCount: () => this.busyCount
     })
     this.tasks = new HostTasks({
       clock: options.clock,
       onDone: (runMs, expectedMs) => this.speed.observe(runMs, expectedMs),
-      tell: (...end) => this.tell(...end)
+      report: (...end) => this.report(...end)
     })
     this.evacuations = new HostEvacuations({ zone: options.zone, onChange: () => this.onEvacuation() })
     this.speed = new SpeedRecord(options.clock)
   }
 
   /** Tasks that run or wait here. */
-  get busy (): number {
-    return this.tasks.busy
+  get busyCount (): number {
+    return this.tasks.busyCount
   }
 
   /** Results that no entry has acknowledged yet. */
@@ -91,7 +91,7 @@
   }
 
   /** A new life of the endpoint; everything of an earlier one is over. */
-  setEndpoint (announced: AnnouncedLife): void {
+  setEndpoint (announced: AnnouncedIncarnation): void {
     this.speed = new SpeedRecord(this.options.clock)
     this.endpoint.begin(announced)
   }
@@ -120,14 +120,14 @@
   }
 
   openSession (incarnation: string, add: AddToFrame): void {
-    this.authorities.onSession(incarnation)
-    this.sessions.begin(incarnation, add, this.tasks.of(incarnation).map(({ key }) => key), this.isLeaving)
-    this.sessions.tellEndpoint(this.endpoint.state, this.isLeaving, [incarnation])
+    this.entryLeases.onSessionChange(incarnation)
+    this.sessions.begin(incarnation, add, this.tasks.tasksOf(incarnation).map(({ key }) => key), this.isLeaving)
+    this.sessions.reportEndpoint(this.endpoint.state, this.isLeaving, [incarnation])
   }
 
   closeSession (incarnation: string, add: AddToFrame): void {
     if (this.sessions.find(incarnation, add) === undefined) return
-    this.authorities.onSession(incarnation)
+    this.entryLeases.onSessionChange(incarnation)
     // What runs for the entry goes on until its authority lapses: the session may resume.
     this.sessions.end(incarnation)
     this.offers.forget(incarnation)
@@ -139,15 +139,15 @@
   }
 
   isBusyWith (incarnation: string): boolean {
-    return this.tasks.of(incarnation).length > 0
+    return this.tasks.tasksOf(incarnation).length > 0
   }
 
   onFrame (incarnation: string, add: AddToFrame, frame: EntryFrame): void {
     const session = this.sessions.find(incarnation, add)
     if (session === undefined) return
-    this.authorities.renew(incarnation, frame.echoStampMs)
+    this.entryLeases.renew(incarnation, frame.echoStampMs)
     this.sessions.acknowledge(incarnation, frame.ackedSeq)
-    session.wantingPriority = frame.wantingPriority
+    session.demandPriority = frame.wantingPriority
     session.evacuationsVersion = frame.evacuationsVersion
     this.evacuations.onFrame(frame)
     for (const revoke of frame.revokes) this.onRevoke(incarnation, revoke)
@@ -156,30 +156,30 @@
       this.onStart(incarnation, start)
     }
     if (frame.leasedStarts.length > 0) this.offers.onStarts(incarnation)
-    this.offers.offerRoom()
+    this.offers.offerFreeCapacity()
     this.sessions.onConfig(session, frame)
   }
 
-  stamp (incarnation: string, frame: AgentFrame): void {
-    this.authorities.look()
+  fillFrame (incarnation: string, frame: AgentFrame): void {
+    this.entryLeases.check()
     frame.stampMs = this.options.clock.now()
-    this.sessions.stamp(incarnation, frame)
-    this.evacuations.stamp(frame, this.sessions.open.get(incarnation)?.evacuationsVersion)
+    this.sessions.fillFrame(incarnation, frame)
+    this.evacuations.fillFrame(frame, this.sessions.open.get(incarnation)?.evacuationsVersion)
     frame.slowness = this.speed.read(this.tasks.runs)
-    this.offers.stamp(incarnation, frame)
+    this.offers.fillFrame(incarnation, frame)
   }
 
   /** Nothing that waits may start any more, or room is offered again; what runs is finished either way. */
   private onEvacuation (): void {
     const { isEvacuated } = this.evacuations
-    this.options.log(isEvacuated ? 'zone_evacuated' : 'zone_restored', { zone: this.options.zone, tasks: this.busy })
+    this.options.log(isEvacuated ? 'zone_evacuated' : 'zone_restored', { zone: this.options.zone, tasks: this.busyCount })
     if (isEvacuated) this.tasks.refuse(() => true, REASONS.zoneEvacuated)
-    else this.onRoom()
+    else this.onCapacityFreed()
   }
 
   private leave (): void {
     this.tasks.refuse(() => true, REASONS.endpointGone)
-    this.sessions.tellLeaving()
+    this.sessions.reportLeaving()
   }
 
   private get isLeaving (): boolean {
@@ -187,32 +187,32 @@
   }
 
   /** True while the endpoint gets no start. */
-  private get isClosed (): boolean {
+  private get isClosedToStarts (): boolean {
     return this.isLeaving || this.evacuations.isEvacuated
   }
 
-  private get room (): Resources {
-    if (this.isClosed || this.endpoint.life === undefined) return NO_ROOM
-    return this.tasks.waiting.roomBehind(this.endpoint.life.room)
+  private get freeCapacity (): Resources {
+    if (this.isClosedToStarts || this.endpoint.supervisor === undefined) return NO_CAPACITY
+    return this.tasks.waiting.capacityAfter(this.endpoint.supervisor.freeCapacity)
   }
 
   /** Stops what runs without authority. */
-  private lapse (): void {
-    this.authorities.look()
-    const isLapsed = ({ owner }: OwnedTask): boolean => !this.authorities.has(owner) && !this.authorities.isDoubtful(owner)
-    this.tasks.stop(this.endpoint.life, isLapsed, REASONS.leaseExpired, ({ owner, key }) =>
+  private stopExpired (): void {
+    this.entryLeases.check()
+    const isLapsed = ({ owner }: OwnedTask): boolean => !this.entryLeases.isValid(owner) && !this.entryLeases.isUnverified(owner)
+    this.tasks.stop(this.endpoint.supervisor, isLapsed, REASONS.leaseExpired, ({ owner, key }) =>
       this.options.log('authority_lapsed', { job: key.submission, task: key.task, entry: owner }))
     this.refuseStale()
     this.sessions.sweep()
   }
 
   private refuseStale (): void {
-    this.tasks.refuse(({ owner }) => !this.authorities.has(owner), REASONS.staleStart)
+    this.tasks.refuse(({ owner }) => !this.entryLeases.isValid(owner), REASONS.staleStart)
   }
 
   /** True while something runs whose authority is in doubt: nothing is held on or started then, as a start holds all that runs. */
-  private get isDoubtful (): boolean {
-    return this.tasks.isGoingOnFor((owner) => this.authorities.isDoubtful(owner))
+  private get hasUnverifiedRuns (): boolean {
+    return this.tasks.isRunningFor((owner) => this.entryLeases.isUnverified(owner))
   }
 
   private onStart (owner: string, { workspace, submission, payload, tasks, need, waitMs, expectedMs }: LeasedStart): void {
@@ -220,54 +220,54 @@
     for (const { index, attempt } of tasks) {
       const key = create(TaskKeySchema, { workspace, submission, task: index, attempt })
       const refusal = this.refusalOf(owner, key)
-      if (refusal === undefined) this.tasks.waiting.add({ owner, key, payload, need: need ?? NO_ROOM, until, expectedMs })
-      else this.tell(owner, key, TASK_OUTCOMES.notStarted, refusal)
+      if (refusal === undefined) this.tasks.waiting.add({ owner, key, payload, need: need ?? NO_CAPACITY, expiresAt: until, expectedMs })
+      else this.report(owner, key, TASK_OUTCOMES.notStarted, refusal)
     }
     this.startWaiting()
     if (this.tasks.waiting.size > 0) this.options.clock.after(waitMs, () => this.expireWaiting())
   }
 
   private refusalOf (owner: string, key: TaskKey): Reason | undefined {
-    if (!this.authorities.has(owner)) return REASONS.staleStart
+    if (!this.entryLeases.isValid(owner)) return REASONS.staleStart
     if (this.evacuations.isEvacuated) return REASONS.zoneEvacuated
-    if (this.isLeaving || this.endpoint.life?.takesStarts !== true) return REASONS.endpointGone
-    const isHere = this.endpoint.life.find(key.submission, key.task) !== undefined || this.tasks.waiting.has(key)
+    if (this.isLeaving || this.endpoint.supervisor?.acceptsStarts !== true) return REASONS.endpointGone
+    const isHere = this.endpoint.supervisor.find(key.submission, key.task) !== undefined || this.tasks.waiting.has(key)
     return isHere ? REASONS.duplicateStart : undefined
   }
 
   private startWaiting (): void {
-    const { life } = this.endpoint
-    if (life === undefined || this.isClosed || this.tasks.waiting.size === 0) return
+    const { supervisor: life } = this.endpoint
+    if (life === undefined || this.isClosedToStarts || this.tasks.waiting.size === 0) return
     // This process may have stood still since they came.
-    this.authorities.look()
+    this.entryLeases.check()
     this.refuseStale()
-    if (!this.isDoubtful) this.tasks.startFitting(life)
+    if (!this.hasUnverifiedRuns) this.tasks.startFitting(life)
   }
 
   private expireWaiting (now = this.options.clock.now()): void {
-    this.tasks.refuse(({ until }) => until <= now, REASONS.noSlot)
+    this.tasks.refuse(({ expiresAt: until }) => until <= now, REASONS.noSlot)
   }
 
   private onRevoke (incarnation: string, { submission, tasks }: Revoke): void {
     const isMeant = ({ owner, key }: OwnedTask): boolean =>
       owner === incarnation && key.submission === submission && (tasks.length === 0 || tasks.includes(key.task))
     this.tasks.refuse(isMeant, REASONS.revoked)
-    this.tasks.stop(this.endpoint.life, isMeant, REASONS.revoked)
+    this.tasks.stop(this.endpoint.supervisor, isMeant, REASONS.revoked)
   }
 
-  private tell (owner: string, key: TaskKey, outcome: TaskOutcome, reason: Reason | '', runMs = 0): void {
+  private report (owner: string, key: TaskKey, outcome: TaskOutcome, reason: Reason | '', runMs = 0): void {
     const result = create(TaskResultSchema, { key, outcome, reason, runMs })
     this.options.observe(result)
-    const hasMoreHere = this.tasks.of(owner).some((other) => other.key.submission === key.submission)
-    this.sessions.tellResult(owner, result, outcome !== TASK_OUTCOMES.done || !hasMoreHere)
+    const hasMoreHere = this.tasks.tasksOf(owner).some((other) => other.key.submission === key.submission)
+    this.sessions.reportResult(owner, result, outcome !== TASK_OUTCOMES.done || !hasMoreHere)
   }
 
-  private onRoom (): void {
+  private onCapacityFreed (): void {
     this.startWaiting()
-    this.offers.offerRoom()
+    this.offers.offerFreeCapacity()
   }
 
-  private tellEndpoint (): void {
-    this.sessions.tellEndpoint(this.endpoint.state, this.isLeaving)
+  private reportEndpoint (): void {
+    this.sessions.reportEndpoint(this.endpoint.state, this.isLeaving)
   }
 }
--- a/packages/coordination/src/leased/leasedHostOptions.ts
+++ b/packages/coordination/src/leased/leasedHostOptions.ts
@@ -1,5 +1,5 @@
 import type { Clock, SuspensionWatch } from '@hazellift/common'
-import type { Offer, Resources } from '@hazellift/decisions'
+import type { OfferCapacity, Resources } from '@hazellift/decisions'
 import type { TaskResult } from '@hazellift/protocol'
 import type { LeaseTimes } from './times.js'
 import type { LeasedEndpoint } from './types.js'
@@ -15,16 +15,16 @@
   zone: string
   times: LeaseTimes
   /** How long the endpoint may wait for an end before it answers a hold, in ms. */
-  holdWaitMs: number
+  pollWaitMs: number
   log: (event: string, fields: LogFields) => void
   /** Told of every attempt that is over. */
   observe: (result: TaskResult) => void
   /** Decides which entry hears of scarce room, in place of the product's rule; for measurements. */
-  offer?: Offer
+  offer?: OfferCapacity
 }
 
 /** The endpoint beside the agent. */
-export interface AnnouncedLife {
+export interface AnnouncedIncarnation {
   service: string
   incarnation: string
   address: string
--- a/packages/coordination/src/leased/leasedJob.ts
+++ b/packages/coordination/src/leased/leasedJob.ts
@@ -1,6 +1,6 @@
-import type { Sponsor } from './heldEchoes.js'
+import type { OriginEntry } from './echoLimits.js'
 import { submissionKey } from '../tasks/keys.js'
-import { giveUpAt } from '@hazellift/decisions'
+import { shedAt } from '@hazellift/decisions'
 import type { JobView, QueueShare, Resources } from '@hazellift/decisions'
 import type { Reason } from '@hazellift/protocol'
 
@@ -29,7 +29,7 @@
   /** How long the caller waits, in ms. */
   deadlineMs: number
   /** The entry that keeps the caller, where it is another one. */
-  sponsor?: Sponsor | undefined
+  originEntry?: OriginEntry | undefined
 }
 
 /** Response time asked for: `stretch` times the run time of a task, and `slackMs` more. */
@@ -71,7 +71,7 @@
   /** Runs that failed. */
   failures: number
   /** Agents where a run failed or was too slow. */
-  avoid: Set<string>
+  avoidedAgents: Set<string>
   isMoving: boolean
   /** An endpoint crashed under it; it may be the cause. */
   isSuspect: boolean
@@ -87,18 +87,18 @@
   queue: number[]
   doneCount: number
   /** Orders not proved to be over. */
-  unproved: number
+  unterminatedRuns: number
   /** Orders sent that are not proved void: these tasks ran, run or may run. */
   mayHaveRun: number
   longestRunMs: number
   end: LeasedJobEnd | undefined
   onEnd: (end: LeasedJobEnd) => void
   /** Called once no order of it can run any more. */
-  onOver: (() => void) | undefined
+  onTerminated: (() => void) | undefined
 }
 
 const newTask = (): LeasedTaskRecord => ({
-  state: LEASED_TASK_STATES.queued, attempt: 0, failures: 0, avoid: new Set(), isMoving: false, isSuspect: false
+  state: LEASED_TASK_STATES.queued, attempt: 0, failures: 0, avoidedAgents: new Set(), isMoving: false, isSuspect: false
 })
 
 /** Part of the response time that no run shows: the way to the caller and back, orders and looks at the endpoint, in ms. */
@@ -107,11 +107,11 @@
 const timesOf = ({ objective, deadlineMs }: LeasedJobSpec, arrivedAt: number, expectedMs: number) => {
   const objectiveMs = objective.stretch * expectedMs + objective.slackMs - OVERHEAD_MS
   const deadlineAt = arrivedAt + deadlineMs
-  const uselessAt = Math.min(deadlineAt, arrivedAt + objective.lateFactor * objectiveMs)
+  const expiresAt = Math.min(deadlineAt, arrivedAt + objective.lateFactor * objectiveMs)
   return {
     dueAt: Math.min(deadlineAt, arrivedAt + objectiveMs),
-    uselessAt,
-    giveUpAt: giveUpAt({ arrivedAt, objectiveMs, expectedMs, deadlineMs }),
+    expiresAt: expiresAt,
+    shedAt: shedAt({ arrivedAt, objectiveMs, expectedMs, deadlineMs }),
     deadlineAt
   }
 }
@@ -133,10 +133,10 @@
   tasks: Array.from({ length: spec.count }, newTask),
   queue: Array.from({ length: spec.count }, (_, index) => spec.count - 1 - index),
   doneCount: 0,
-  unproved: 0,
+  unterminatedRuns: 0,
   mayHaveRun: 0,
   longestRunMs: 0,
   end: undefined,
   onEnd,
-  onOver: undefined
+  onTerminated: undefined
 })
--- a/packages/coordination/src/leased/leasedJobs.ts
+++ b/packages/coordination/src/leased/leasedJobs.ts
@@ -114,8 +114,8 @@
     let hasLeft = false
     let attachment: Attachment | undefined
     const over = new Promise<void>((resolve) => {
-      const before = stopping.onOver
-      stopping.onOver = () => {
+      const before = stopping.onTerminated
+      stopping.onTerminated = () => {
         before?.()
         resolve()
       }
--- a/packages/coordination/src/leased/leasedQueue.test.ts
+++ b/packages/coordination/src/leased/leasedQueue.test.ts
@@ -1,4 +1,4 @@
-import { order } from '@hazellift/decisions'
+import { orderJobs } from '@hazellift/decisions'
 import { describe, expect, it } from 'vitest'
 import { createLeasedJob } from './leasedJob.js'
 import type { LeasedJob } from './leasedJob.js'
@@ -44,7 +44,7 @@
     { name: 'one of which a task was started is finished, late or not', jobs: { begun: { ageMs: 400, mayHaveRun: 1 }, young: { ageMs: 0 } }, expected: ['begun', 'young'] }
   ]
   it.each(cases)('$name', ({ jobs, expected }) => {
-    const queue = new LeasedQueue(order)
+    const queue = new LeasedQueue(orderJobs)
     for (const [id, given] of Object.entries(jobs)) queue.add(jobOf(id, given))
     expect(queue.inOrder(NOW).map(({ id }) => id)).toEqual(expected)
   })
--- a/packages/coordination/src/leased/leasedQueue.ts
+++ b/packages/coordination/src/leased/leasedQueue.ts
@@ -1,12 +1,12 @@
-import { isLate, offeredPriority } from '@hazellift/decisions'
-import type { LoadView, Order } from '@hazellift/decisions'
+import { isLate, demandPriority } from '@hazellift/decisions'
+import type { LoadView, OrderJobs } from '@hazellift/decisions'
 import type { LeasedJob } from './leasedJob.js'
 
 /** Jobs of one service that have tasks to send. */
 export class LeasedQueue {
   private readonly jobs = new Set<LeasedJob>()
 
-  constructor (private readonly order: Order) {}
+  constructor (private readonly order: OrderJobs) {}
 
   /** Jobs with tasks that wait. */
   get size (): number {
@@ -18,8 +18,8 @@
   }
 
   /** The priority with which the first job competes for room with those of other entries; undefined if none waits. */
-  wantingPriority (now: number, { queues }: LoadView): number | undefined {
-    const priorityOf = offeredPriority(queues)
+  demandPriority (now: number, { queues }: LoadView): number | undefined {
+    const priorityOf = demandPriority(queues)
     let first: number | undefined
     for (const job of this.jobs) {
       // One that is late has no claim to what is kept for its queue.
--- a/packages/coordination/src/leased/leasedSender.ts
+++ b/packages/coordination/src/leased/leasedSender.ts
@@ -39,10 +39,10 @@
   schedule (name: string): void {
     const { fleet, defer } = this.options
     const service = fleet.serviceOf(name)
-    if (service.isPumpDue || service.queue.size === 0) return
-    service.isPumpDue = true
+    if (service.isSendScheduled || service.queue.size === 0) return
+    service.isSendScheduled = true
     defer(() => {
-      service.isPumpDue = false
+      service.isSendScheduled = false
       this.pump(name, service)
     })
   }
@@ -57,7 +57,7 @@
     for (const job of queue.inOrder(this.options.clock.now(), this.options.fleet.loadOf(name))) {
       if (this.place(job)) queue.remove(job)
       // A job of another entry may wait for that entry's sign of life; this one's own do not wait behind it.
-      else if (job.sponsor === undefined) break
+      else if (job.originEntry === undefined) break
     }
     if (queue.size > 0) this.askForRoom(name, service)
   }
@@ -65,9 +65,9 @@
   /** Some agents that do not know yet that tasks wait here are told; more of them as long as tasks wait. */
   private askForRoom (name: string, service: LeasedService): void {
     const { fleet, clock, random } = this.options
-    if (clock.now() - service.askedAt < ASK_PACE_MS) return
-    service.askedAt = clock.now()
-    const unasked = fleet.agentsOf(name).filter(({ knowsWanting }) => !knowsWanting)
+    if (clock.now() - service.capacityRequestedAt < ASK_PACE_MS) return
+    service.capacityRequestedAt = clock.now()
+    const unasked = fleet.agentsOf(name).filter(({ knowsDemand: knowsWanting }) => !knowsWanting)
     // From a random one on: entries that run short together ask different agents.
     const from = Math.floor(random() * unasked.length)
     const asked = [...unasked.slice(from), ...unasked.slice(0, from)].slice(0, ASK_STEP)
@@ -84,7 +84,7 @@
     let near: LeasedAgent | undefined
     while (job.queue.length > 0) {
       const index = job.queue.at(-1)!
-      const agent = this.options.fleet.choose(job, index, { near })
+      const agent = this.options.fleet.choose(job, index, { preferred: near })
       if (agent === undefined) break
       near = agent
       job.queue.pop()
@@ -102,7 +102,7 @@
     const start = create(LeasedStartSchema, {
       workspace, submission: id, payload, tasks, need: create(RoomSchema, need), waitMs: AGENT_WAIT_MS, expectedMs: Math.round(job.expectedMs)
     })
-    this.options.onSent(job, agent.agentId, indexes, agent.room)
+    this.options.onSent(job, agent.agentId, indexes, agent.freeCapacity)
     agent.link!.add((frame) => { frame.leasedStarts.push(start) })
   }
 
@@ -113,9 +113,9 @@
     const { workspace, id } = job
     const key = taskKey(create(TaskKeySchema, { workspace, submission: id, task: index, attempt: task.attempt }))
     task.state = LEASED_TASK_STATES.sent
-    job.unproved++
+    job.unterminatedRuns++
     job.mayHaveRun++
-    agent.sent.set(key, { job, index, attempt: task.attempt, sentAt: clock.now(), life: agent.endpoint })
+    agent.sent.set(key, { job, index, attempt: task.attempt, sentAt: clock.now(), endpointIncarnation: agent.endpointIncarnation })
     fleet.healthOf(agent)?.sent(agent.agentId)
     fleet.serviceOf(job.service).load.onStarted(job.priority, job.need.cpuMilli * job.expectedMs)
   }
--- a/packages/coordination/src/leased/leasedSessions.ts
+++ b/packages/coordination/src/leased/leasedSessions.ts
@@ -10,7 +10,7 @@
 import { LeasedAgent } from './leasedAgent.js'
 import type { SentRun } from './leasedAgent.js'
 import type { LeasedFleet } from './leasedFleet.js'
-import { provedOverMs } from './times.js'
+import { terminationBoundMs } from './times.js'
 import type { LeaseTimes } from './times.js'
 
 /** What sessions tell their owner, for logs and metrics. */
@@ -84,8 +84,8 @@
   }
 
   /** The operator's store may hold a newer document than it showed this entry. */
-  setConfigDoubt (isDoubted: boolean): void {
-    this.config.setDoubt(isDoubted)
+  setConfigUnconfirmed (isDoubted: boolean): void {
+    this.config.setUnconfirmed(isDoubted)
   }
 
   /** The operator's list of evacuated zones was read; agents hear of it, and those without a store through them. */
@@ -123,14 +123,14 @@
     this.options.events.agentChanged(agent, 'session_closed')
   }
 
-  stamp (agent: LeasedAgent, frame: EntryFrame): void {
+  fillFrame (agent: LeasedAgent, frame: EntryFrame): void {
     const { fleet, clock } = this.options
     this.watch.look()
-    frame.echoStampMs = fleet.echoes.echo(agent, clock.now())
-    this.config.stamp(agent, frame)
-    this.evacuations.stamp(agent, frame)
-    frame.wantingPriority = fleet.wantingPriority(agent.service)
-    agent.knowsWanting = frame.wantingPriority !== undefined
+    frame.echoStampMs = fleet.echoLimits.stampToEcho(agent, clock.now())
+    this.config.fillFrame(agent, frame)
+    this.evacuations.fillFrame(agent, frame)
+    frame.wantingPriority = fleet.demandPriority(agent.service)
+    agent.knowsDemand = frame.wantingPriority !== undefined
     agent.echoedAt = clock.now()
   }
 
@@ -145,8 +145,8 @@
     if (agent.link === link) this.checkLost(agent, now)
     if (agent.link !== link) return
     agent.stampMs = frame.stampMs
-    agent.heardAt = now
-    this.options.fleet.echoes.onStamp(agent, now)
+    agent.receivedAt = now
+    this.options.fleet.echoLimits.onStamp(agent, now)
     if (frame.slowness > 0) agent.slowness = frame.slowness
     agent.entryCount = Math.max(1, frame.entries)
     this.evacuations.onFrame(agent, frame)
@@ -155,7 +155,7 @@
     else if (frame.leaving) this.onLeaving(agent)
     if (frame.resume !== undefined) this.onResume(agent, frame.resume.held.map(taskKey))
     for (const result of frame.results) this.onResult(agent, result)
-    if (frame.room !== undefined) agent.setRoom(frame.room)
+    if (frame.room !== undefined) agent.setFreeCapacity(frame.room)
     if (this.owesFrame(agent, now)) link.add(() => {})
     if (agent.service !== '') this.options.schedule(agent.service)
   }
@@ -164,7 +164,7 @@
    * Only tasks that were sent need their authority renewed, as a start renews
    * it by itself; and an agent that offers room in vain must know.
    */
-  private owesFrame ({ sent, echoedAt, knowsWanting, service }: LeasedAgent, now: number): boolean {
+  private owesFrame ({ sent, echoedAt, knowsDemand: knowsWanting, service }: LeasedAgent, now: number): boolean {
     const wantsNoMore = knowsWanting && this.options.fleet.services.get(service)?.queue.size === 0
     return wantsNoMore || (sent.size > 0 && now - echoedAt >= ECHO_PACE_MS)
   }
@@ -173,21 +173,21 @@
     const { fleet, events, schedule } = this.options
     events.evacuationsChanged(fleet.evacuations.zones, fleet.evacuations.version, origin)
     // What was served so far says nothing of the capacity that is left, or back.
-    fleet.onJoined()
+    fleet.onEndpointsChanged()
     for (const service of fleet.services.keys()) schedule(service)
   }
 
   private onEndpoint (agent: LeasedAgent, { endpoint, leaving }: AgentFrame): void {
     const { fleet, events } = this.options
     // What was learned of a life, and whether it is new here, does not change with its capacity.
-    if (agent.isSameLife(endpoint!)) return this.onCapacity(agent, endpoint!, leaving)
+    if (agent.isSameIncarnation(endpoint!)) return this.onCapacity(agent, endpoint!, leaving)
     fleet.healthOf(agent)?.remove(agent.agentId)
     agent.setEndpoint(endpoint!)
     agent.isLeaving = leaving
     events.agentChanged(agent, 'endpoint')
     if (agent.service === '') return
     this.hasEndpoints = true
-    fleet.onJoined()
+    fleet.onEndpointsChanged()
     fleet.serviceOf(agent.service).health.add(agent.agentId)
     // Its endpoint has shown that nothing of an earlier process of the agent runs any more.
     for (const earlier of [...this.replaced]) if (earlier.agentId === agent.agentId) this.lose(earlier, REASONS.agentLost)
@@ -235,8 +235,8 @@
 
   private checkLost (agent: LeasedAgent, now: number): void {
     const { times, events, fleet } = this.options
-    const silentMs = now - agent.heardAt
-    if (silentMs < provedOverMs(times)) return
+    const silentMs = now - agent.receivedAt
+    if (silentMs < terminationBoundMs(times)) return
     if (agent.sent.size > 0) {
       events.agentLost(agent.agentId, Math.round(silentMs), agent.sent.size)
       // On this session its agent must hear nothing more that would let them run on.
--- a/packages/coordination/src/leased/loadRecord.ts
+++ b/packages/coordination/src/leased/loadRecord.ts
@@ -39,12 +39,12 @@
   constructor (private readonly now: () => number) {}
 
   /** A job has come. */
-  onAsked (priority: number, work: number): void {
+  onArrived (priority: number, work: number): void {
     this.recordOf(priority).asked.add(work, this.now())
   }
 
   /** It was taken on. */
-  onTaken (priority: number, work: number): void {
+  onAdmitted (priority: number, work: number): void {
     this.recordOf(priority).taken.add(work, this.now())
   }
 
@@ -60,7 +60,7 @@
   }
 
   /** Looks at the queue; to be called a few tens of times a second. */
-  onLook (isWaiting: boolean): void {
+  recordWaiting (isWaiting: boolean): void {
     const now = this.now()
     const passedMs = now - this.readAt
     if (this.wasWaiting) {
@@ -86,8 +86,8 @@
     const now = this.now()
     return [...this.records].map(([priority, { asked, taken, started, lost }]) => ({
       priority,
-      askedMilli: asked.read(now) / MEMORY_MS,
-      takenMilli: taken.read(now) / MEMORY_MS,
+      arrivedMilli: asked.read(now) / MEMORY_MS,
+      admittedMilli: taken.read(now) / MEMORY_MS,
       startedMilli: started.read(now) / MEMORY_MS,
       refusedMilli: lost.read(now) / MEMORY_MS
     }))
--- a/packages/coordination/src/leased/queueShares.test.ts
+++ b/packages/coordination/src/leased/queueShares.test.ts
@@ -1,7 +1,7 @@
 import { PLAIN_POLICY, POLICY } from '@hazellift/decisions'
-import type { Shares } from '@hazellift/decisions'
+import type { ComputeShares } from '@hazellift/decisions'
 import { describe, expect, it } from 'vitest'
-import { replayQueues } from '../../tests/leased/replayQueues.js'
+import { simulateQueueBurst } from '../../tests/leased/simulateQueueBurst.js'
 
 /** What all queues could get if each were served the same part of what it asks: a quarter more is asked than can be served. */
 const EVEN_SERVED = 1 / 1.25
@@ -13,8 +13,8 @@
 /** How much worse entries may fare that hear nothing of each other. */
 const DISAGREEMENT = 0.05
 
-const servedBy = (entries: number, shares: Shares, seed: number): number[] =>
-  [...replayQueues(entries, shares, seed).queues.values()].map(({ inTime, asked }) => inTime / asked)
+const servedBy = (entries: number, shares: ComputeShares, seed: number): number[] =>
+  [...simulateQueueBurst(entries, shares, seed).queues.values()].map(({ inTime, arrived: asked }) => inTime / asked)
 const SEEDS = [{ seed: 1 }, { seed: 5 }, { seed: 6 }, { seed: 7 }]
 
 describe('a burst of the last queue, a quarter over what can be served', () => {
@@ -34,6 +34,6 @@
   })
 
   it('no room is free while any job waits', () => {
-    expect(replayQueues(8, POLICY.shares, 1).idle).toBe(0)
+    expect(simulateQueueBurst(8, POLICY.shares, 1).idleSweeps).toBe(0)
   })
 })
--- a/packages/coordination/src/leased/responseTimes.ts
+++ b/packages/coordination/src/leased/responseTimes.ts
@@ -2,7 +2,7 @@
 const MEAN_WEIGHT = 1 / 8
 const DEVIATION_WEIGHT = 1 / 4
 /** So many deviations above the mean are allowed for, from the same source. */
-const DEVIATIONS = 4
+const DEVIATION_FACTOR = 4
 /** A collection of garbage on either side takes a few milliseconds; waiting less would only repeat calls in vain. */
 const MIN_LIMIT_MS = 10
 /** What is left unanswered for so long was lost, however slow the machine: holds last for half a second, and two in a row may get lost. */
@@ -39,6 +39,6 @@
   /** How long to wait for an answer, in ms. */
   get limitMs (): number {
     if (this.meanMs === undefined) return this.firstLimitMs
-    return Math.min(MAX_LIMIT_MS, Math.max(MIN_LIMIT_MS, this.meanMs + DEVIATIONS * this.deviationMs))
+    return Math.min(MAX_LIMIT_MS, Math.max(MIN_LIMIT_MS, this.meanMs + DEVIATION_FACTOR * this.deviationMs))
   }
 }
--- a/packages/coordination/src/leased/speedRecord.ts
+++ b/packages/coordination/src/leased/speedRecord.ts
@@ -16,17 +16,17 @@
 /** How slow the endpoint is against expected run times, by runs that ended and by those that should have. */
 export class SpeedRecord {
   private slowness = 1
-  private seenAt: number
+  private updatedAt: number
 
   constructor (private readonly clock: Pick<Clock, 'now'>) {
-    this.seenAt = clock.now()
+    this.updatedAt = clock.now()
   }
 
   /** A run was done. */
   observe (runMs: number, expectedMs: number): void {
     if (expectedMs <= 0) return
     this.slowness = this.current + (runMs / expectedMs - this.current) * WEIGHT
-    this.seenAt = this.clock.now()
+    this.updatedAt = this.clock.now()
   }
 
   /** The figure now; 1 is as expected. */
@@ -41,7 +41,7 @@
   }
 
   private get current (): number {
-    const halves = (this.clock.now() - this.seenAt) / HALF_LIFE_MS
+    const halves = (this.clock.now() - this.updatedAt) / HALF_LIFE_MS
     return 1 + (this.slowness - 1) * 0.5 ** halves
   }
 }
--- a/packages/coordination/src/leased/stampHistory.ts
+++ b/packages/coordination/src/leased/stampHistory.ts
@@ -1,6 +1,6 @@
 /** A stamp of another process, and when it was read. */
-export interface ReadStamp {
-  readAt: number
+export interface ReceivedStamp {
+  receivedAt: number
   stampMs: number
 }
 
@@ -11,18 +11,18 @@
 
 /** Which stamps of a process had been read by which moment. */
 export class StampHistory {
-  private readonly stamps: ReadStamp[] = []
+  private readonly stamps: ReceivedStamp[] = []
 
   /** A stamp was read. */
   add (readAt: number, stampMs: number): void {
     const last = this.stamps.at(-1)
-    if (last !== undefined && readAt - last.readAt < GAP_MS) return
-    this.stamps.push({ readAt, stampMs })
-    while (readAt - this.stamps[0]!.readAt > KEPT_MS) this.stamps.shift()
+    if (last !== undefined && readAt - last.receivedAt < GAP_MS) return
+    this.stamps.push({ receivedAt: readAt, stampMs })
+    while (readAt - this.stamps[0]!.receivedAt > KEPT_MS) this.stamps.shift()
   }
 
   /** The latest that had been read by then, or an older one; undefined if none is known. */
-  readBy (at: number): ReadStamp | undefined {
-    return this.stamps.findLast(({ readAt }) => readAt <= at)
+  receivedBy (at: number): ReceivedStamp | undefined {
+    return this.stamps.findLast(({ receivedAt: readAt }) => readAt <= at)
   }
 }
--- a/packages/coordination/src/leased/suspects.ts
+++ b/packages/coordination/src/leased/suspects.ts
@@ -1,5 +1,5 @@
 import { judgeSuspect } from '@hazellift/decisions'
-import type { LossView, Verdict } from '@hazellift/decisions'
+import type { LossView, SuspectVerdict } from '@hazellift/decisions'
 import { REASONS } from '@hazellift/protocol'
 import type { Reason } from '@hazellift/protocol'
 import type { LeasedAgent, SentRun } from './leasedAgent.js'
@@ -18,7 +18,7 @@
 }
 
 /** Told of a task under which an endpoint crashed, and of what follows. */
-export type OnSuspect = (job: LeasedJob, index: number, lives: string[], verdict: Verdict) => void
+export type OnSuspect = (job: LeasedJob, index: number, lives: string[], verdict: SuspectVerdict) => void
 
 /** Crashes that lie no further apart may have one cause. */
 const TOGETHER_MS = 1000
@@ -56,12 +56,12 @@
    *
    * @returns how its job ends, if its task is not to be started again
    */
-  onFailed ({ agentId }: LeasedAgent, { job, index, life }: SentRun, reason: Reason): LeasedJobEnd | undefined {
+  onFailed ({ agentId }: LeasedAgent, { job, index, endpointIncarnation: life }: SentRun, reason: Reason): LeasedJobEnd | undefined {
     if (!LOSSES.has(reason)) return undefined
     const isCrash = reason === REASONS.endpointCrashed
-    this.remember(job, index, { life: `${agentId}/${life}`, place: agentId, isCrash, at: this.now() })
+    this.remember(job, index, { incarnation: `${agentId}/${life}`, agent: agentId, isCrash, at: this.now() })
     const task = job.tasks[index]!
-    if (isCrash) task.avoid.add(agentId)
+    if (isCrash) task.avoidedAgents.add(agentId)
     const verdict = this.judge(job, index)
     task.isSuspect = verdict === 'suspect'
     if (verdict !== 'clear') this.onSuspect(job, index, this.livesOf(job, index), verdict)
@@ -69,7 +69,7 @@
   }
 
   private remember (job: LeasedJob, index: number, loss: Loss): void {
-    if (loss.isCrash) this.crashes.push({ at: loss.at, place: loss.place, job: job.key })
+    if (loss.isCrash) this.crashes.push({ at: loss.at, place: loss.agent, job: job.key })
     const name = nameOf(job, index)
     const losses = [...this.losses.get(name) ?? [], loss]
     // Set anew, so that the map's order is that of the latest loss.
@@ -86,7 +86,7 @@
     }
   }
 
-  private judge (job: LeasedJob, index: number): Verdict {
+  private judge (job: LeasedJob, index: number): SuspectVerdict {
     const losses = this.losses.get(nameOf(job, index)) ?? []
     return judgeSuspect(losses.map((loss) => ({ ...loss, others: this.othersAt(loss, job.key) })))
   }
@@ -100,7 +100,7 @@
 
   private livesOf (job: LeasedJob, index: number): string[] {
     const losses = this.losses.get(nameOf(job, index)) ?? []
-    return [...new Set(losses.map(({ life, isCrash }) => isCrash ? life : `${life} (silent)`))]
+    return [...new Set(losses.map(({ incarnation: life, isCrash }) => isCrash ? life : `${life} (silent)`))]
   }
 
   private giveUp (job: LeasedJob, index: number): LeasedJobEnd {
--- a/packages/coordination/src/leased/times.ts
+++ b/packages/coordination/src/leased/times.ts
@@ -1,9 +1,9 @@
 /** How long authority lasts at each step of the chain entry, agent, endpoint; all in ms. */
 export interface LeaseTimes {
   /** How long an agent runs an entry's tasks after the stamp that the entry echoed last. */
-  authorityMs: number
+  entryLeaseMs: number
   /** How far ahead an agent holds what runs at its endpoint. */
-  holdMs: number
+  runLeaseMs: number
   /** Longest time that the endpoint takes to stop a task. */
   stopMs: number
   /** How much slower than ours the endpoint's clock may run. */
@@ -20,14 +20,14 @@
  *
  * @param times - the lengths of the chain's steps
  */
-export const provedOverMs = ({ authorityMs, holdMs, stopMs, clockFactor }: LeaseTimes): number =>
+export const terminationBoundMs = ({ entryLeaseMs: authorityMs, runLeaseMs: holdMs, stopMs, clockFactor }: LeaseTimes): number =>
   authorityMs + holdMs * clockFactor + stopMs
 
 /** Longest time from the last hold of an agent until nothing of it runs at the endpoint. */
-export const lapsedMs = ({ holdMs, stopMs, clockFactor }: LeaseTimes): number => holdMs * clockFactor + stopMs
+export const runExpiryMs = ({ runLeaseMs: holdMs, stopMs, clockFactor }: LeaseTimes): number => holdMs * clockFactor + stopMs
 
 /**
  * How long a run may go on unheld while it is in doubt whether its authority is over:
  * long enough for an echo, and so short that the last hold outlasts it.
  */
-export const doubtMs = ({ holdMs }: LeaseTimes): number => holdMs / 2
+export const verificationMs = ({ runLeaseMs: holdMs }: LeaseTimes): number => holdMs / 2
--- a/packages/coordination/src/leased/types.ts
+++ b/packages/coordination/src/leased/types.ts
@@ -11,7 +11,7 @@
 export interface StartOrder extends RunRef {
   payload: string
   /** How far ahead everything at the endpoint is held from the sending on. */
-  holdMs: number
+  runLeaseMs: number
 }
 
 /** What is known after an order to start. */
@@ -45,9 +45,9 @@
 }
 
 /** An order to hold what runs, and to look. */
-export interface HoldOrder {
+export interface PollRequest {
   /** How far ahead everything is held; unset to look only. */
-  holdMs: number | undefined
+  runLeaseMs: number | undefined
   /** Ends up to this one are known. */
   lastSeen: number
   /** How long the answer may wait for an end. */
@@ -55,7 +55,7 @@
 }
 
 /** What the endpoint shows. */
-export type HoldOutcome =
+export type PollOutcome =
   | { type: 'held', running: RunRef[], ended: ListedEnd[] }
   /** No answer. `isRefused`: nothing takes connections at its address. */
   | { type: 'unknown', isRefused?: boolean }
@@ -66,5 +66,5 @@
   start: (order: StartOrder) => Promise<StartOutcome>
   /** True once the run is being stopped, or can never begin. */
   stop: (run: RunRef) => Promise<boolean>
-  hold: (order: HoldOrder) => Promise<HoldOutcome>
+  poll: (order: PollRequest) => Promise<PollOutcome>
 }
--- a/packages/coordination/src/leased/waitingStarts.ts
+++ b/packages/coordination/src/leased/waitingStarts.ts
@@ -10,7 +10,7 @@
   payload: string
   need: Resources
   /** It is refused if no room came free by then. */
-  until: number
+  expiresAt: number
   expectedMs: number
 }
 
@@ -42,14 +42,14 @@
   }
 
   /** Takes out those that are meant. */
-  takeOut (isMeant: (start: WaitingStart) => boolean): WaitingStart[] {
+  removeMatching (isMeant: (start: WaitingStart) => boolean): WaitingStart[] {
     const taken = this.starts.filter(isMeant)
     if (taken.length > 0) this.starts = this.starts.filter((start) => !isMeant(start))
     return taken
   }
 
   /** What is left of the room once all of them have begun. */
-  roomBehind ({ cpuMilli, memoryMb }: Resources): Resources {
+  capacityAfter ({ cpuMilli, memoryMb }: Resources): Resources {
     return this.starts.reduce((room, { need }) => ({
       cpuMilli: Math.max(0, room.cpuMilli - need.cpuMilli),
       memoryMb: Math.max(0, room.memoryMb - need.memoryMb)
--- a/packages/coordination/tests/handoff/handOn.test.ts
+++ b/packages/coordination/tests/handoff/handOn.test.ts
@@ -1,37 +1,37 @@
 import { seededRandom } from '@hazellift/common'
 import { REASONS } from '@hazellift/protocol'
 import { describe, expect, it } from 'vitest'
-import { overlaps } from '../leased/fakeEndpoint.js'
+import { overlappingRuns } from '../leased/fakeEndpoint.js'
 import { HandOnNetwork } from './handOnNetwork.js'
 
 const RESEND_MS = 1300
 /** Agents and the two entries know each other, and echoes are held back. */
-const WARM_MS = 1000
+const WARM_UP_MS = 1000
 /** An entry that stood still has its sessions again. */
-const WAKE_MS = 100
+const RECONNECT_MS = 100
 const OBJECTIVE = { stretch: 20, slackMs: 2000, lateFactor: 3 }
 
-const started = async (): Promise<HandOnNetwork> => {
+const createNetwork = async (): Promise<HandOnNetwork> => {
   const network = new HandOnNetwork(3, 3)
-  await network.advance(WARM_MS)
+  await network.advance(WARM_UP_MS)
   return network
 }
 
 const submit = (network: HandOnNetwork, entry: number, id: string, count = 2) => network.leased.submit(entry, id, count, { objective: OBJECTIVE })
 
-const runsOf = ({ leased: { endpoints } }: HandOnNetwork): number => endpoints.reduce((sum, { past, open }) => sum + past.length + open.length, 0)
+const countRuns = ({ leased: { endpoints } }: HandOnNetwork): number => endpoints.reduce((sum, { endedRuns: past, openRuns: open }) => sum + past.length + open.length, 0)
 
 /** How old the stamp is that was echoed last, at the agent where it is oldest. */
-const oldestEcho = ({ leased: { clock, entries } }: HandOnNetwork, entry: number): number =>
+const oldestEchoAgeMs = ({ leased: { clock, entries } }: HandOnNetwork, entry: number): number =>
   Math.max(...[...entries[entry]!.dispatcher.fleet.agents.values()].map(({ echoedStampMs }) => clock.now() - echoedStampMs))
 
 /** Stamps echoed to agents of entry 1 that run work of entry 0, later than entry 0 is known to have lived: the agents would run it on for too long. */
 const lateEchoes = ({ leased: { entries } }: HandOnNetwork): number[] =>
   [...entries[1]!.dispatcher.fleet.agents.values()].flatMap(({ echoedStampMs, sent }) =>
-    [...sent.values()].flatMap(({ job: { sponsor } }) => sponsor !== undefined && echoedStampMs > sponsor.aliveAt ? [echoedStampMs - sponsor.aliveAt] : []))
+    [...sent.values()].flatMap(({ job: { originEntry: sponsor } }) => sponsor !== undefined && echoedStampMs > sponsor.aliveAt ? [echoedStampMs - sponsor.aliveAt] : []))
 
 /** Moves time on in small steps and looks at every echo. */
-const advanceLooking = async (network: HandOnNetwork, ms: number): Promise<void> => {
+const advanceCheckingEchoes = async (network: HandOnNetwork, ms: number): Promise<void> => {
   for (let passed = 0; passed < ms; passed += 5) {
     await network.advance(5)
     expect(lateEchoes(network)).toEqual([])
@@ -39,17 +39,17 @@
 }
 
 /** The caller's entry has last been alive then, on the common clock. */
-const aliveAtOf = ({ leased: { entries } }: HandOnNetwork): number => Math.max(...[...entries[1]!.dispatcher.fleet.agents.values()]
-  .flatMap(({ sent }) => [...sent.values()].map(({ job: { sponsor } }) => sponsor?.aliveAt ?? -Infinity)))
+const originAliveAt = ({ leased: { entries } }: HandOnNetwork): number => Math.max(...[...entries[1]!.dispatcher.fleet.agents.values()]
+  .flatMap(({ sent }) => [...sent.values()].map(({ job: { originEntry: sponsor } }) => sponsor?.aliveAt ?? -Infinity)))
 
 describe('work handed on', () => {
   it('a late entry hands its jobs to its neighbour, which runs them once', async () => {
-    const network = await started()
+    const network = await createNetwork()
     for (let job = 0; job < 4; job++) submit(network, 0, `j${job}`, 1)
     await network.advance(400)
     expect(network.counts).toMatchObject({ handedOn: 4, hosted: 4, refused: 0, returned: [] })
-    expect([...network.leased.ends.values()].map(({ type }) => type)).toEqual(Array.from({ length: 4 }, () => 'complete'))
-    expect(runsOf(network)).toBe(4)
+    expect([...network.leased.jobEnds.values()].map(({ type }) => type)).toEqual(Array.from({ length: 4 }, () => 'complete'))
+    expect(countRuns(network)).toBe(4)
     expect(network.entries[1]!.host.size).toBe(0)
     expect(network.entries[0]!.router.outstanding).toBe(0)
   })
@@ -62,27 +62,27 @@
     { name: 'nothing to one that stops', prepare: ({ entries }) => { entries[1]!.isStopping = true }, handedOn: 0 }
   ]
   it.each(bounds)('$name', async ({ prepare, handedOn }) => {
-    const network = await started()
+    const network = await createNetwork()
     prepare(network)
     await network.advance(200)
     for (let job = 0; job < 3; job++) submit(network, 0, `j${job}`, 1)
     await network.advance(600)
     expect(network.counts.handedOn).toBe(handedOn)
-    expect([...network.leased.ends.values()].map(({ type }) => type)).toEqual(['complete', 'complete', 'complete'])
-    expect(runsOf(network)).toBe(3)
+    expect([...network.leased.jobEnds.values()].map(({ type }) => type)).toEqual(['complete', 'complete', 'complete'])
+    expect(countRuns(network)).toBe(3)
   })
 
   it('a job is not handed on twice', async () => {
-    const network = await started()
+    const network = await createNetwork()
     network.entries[1]!.lagMs = 7
     submit(network, 0, 'j', 1)
     await network.advance(300)
     expect(network.counts).toMatchObject({ handedOn: 1, hosted: 1 })
-    expect(runsOf(network)).toBe(1)
+    expect(countRuns(network)).toBe(1)
   })
 
   it('a job that the neighbour has under its key is refused there, and placed here', async () => {
-    const network = await started()
+    const network = await createNetwork()
     for (const endpoint of network.leased.endpoints) endpoint.runMs = 500
     const { leave } = submit(network, 1, 'j', 1)
     await network.advance(50)
@@ -90,7 +90,7 @@
     submit(network, 0, 'j', 1)
     await network.advance(1500)
     expect(network.counts.returned).toEqual(['refused placed'])
-    expect(network.leased.ends.get('j')).toEqual({ type: 'complete' })
+    expect(network.leased.jobEnds.get('j')).toEqual({ type: 'complete' })
   })
 
   /** What happens while a job runs that was handed on. */
@@ -123,28 +123,28 @@
     { name: 'the neighbour is cut', act: ({ entries }) => entries[1]!.host.cutAll(), returned: ['unfinished placed'] }
   ]
   it.each(faults)('$name: no two runs overlap, and the job ends', async ({ act, returned }) => {
-    const network = await started()
+    const network = await createNetwork()
     for (const endpoint of network.leased.endpoints) endpoint.runMs = 900
     submit(network, 0, 'j', 3)
     await network.advance(60)
     expect(network.counts.hosted).toBe(1)
-    expect(runsOf(network)).toBe(3)
+    expect(countRuns(network)).toBe(3)
     await act(network)
     await network.advance(4000)
     expect(network.counts.returned).toEqual(returned)
-    expect(network.leased.ends.get('j')).toEqual({ type: 'complete' })
-    expect(overlaps(network.leased.endpoints)).toEqual([])
+    expect(network.leased.jobEnds.get('j')).toEqual({ type: 'complete' })
+    expect(overlappingRuns(network.leased.endpoints)).toEqual([])
   })
 
   it('the neighbour is lost, and the answer would come too late: the caller hears that it may send again, and nothing runs', async () => {
-    const network = await started()
+    const network = await createNetwork()
     for (const endpoint of network.leased.endpoints) endpoint.runMs = 900
     network.leased.submit(0, 'j', 2, { objective: { stretch: 1.6, slackMs: 60, lateFactor: 3 } })
     await network.advance(60)
     network.kill(1)
     await network.advance(1300)
-    expect(network.leased.ends.get('j')).toMatchObject({ type: 'failed', reason: REASONS.handOnLost })
-    expect(network.leased.endpoints.flatMap(({ open }) => open)).toEqual([])
+    expect(network.leased.jobEnds.get('j')).toMatchObject({ type: 'failed', reason: REASONS.handOnLost })
+    expect(network.leased.endpoints.flatMap(({ openRuns: open }) => open)).toEqual([])
   })
 
   /** The caller's entry is lost; its caller sends the job again, to the neighbour or to a third entry. */
@@ -164,42 +164,42 @@
   ]
   const resends = deaths.flatMap((death) => [1, 2].map((to) => ({ ...death, to })))
   it.each(resends)('$name: the job sent again to entry $to runs beside no other run', async ({ act, to }) => {
-    const network = await started()
+    const network = await createNetwork()
     for (const endpoint of network.leased.endpoints) endpoint.runMs = 1600
     submit(network, 0, 'j', 3)
     await network.advance(60)
-    expect(runsOf(network)).toBe(3)
+    expect(countRuns(network)).toBe(3)
     act(network)
-    await network.advance(RESEND_MS - WAKE_MS)
+    await network.advance(RESEND_MS - RECONNECT_MS)
     if (to === 1) network.freeze(1, false)
-    await network.advance(WAKE_MS)
+    await network.advance(RECONNECT_MS)
     submit(network, to, 'j', 3)
     await network.advance(6000)
-    expect(network.leased.ends.get('j')).toEqual({ type: 'complete' })
-    expect(overlaps(network.leased.endpoints)).toEqual([])
+    expect(network.leased.jobEnds.get('j')).toEqual({ type: 'complete' })
+    expect(overlappingRuns(network.leased.endpoints)).toEqual([])
   })
 
   it('agents are echoed no stamp made after the caller\'s entry died', async () => {
-    const network = await started()
+    const network = await createNetwork()
     for (const endpoint of network.leased.endpoints) endpoint.runMs = 900
     // Traffic of the neighbour's own has it echo what it has just read.
     for (let job = 0; job < 30; job++) {
       network.leased.clock.after(job * 20, () => submit(network, 1, `own${job}`, 1))
       if (job % 3 === 0) network.leased.clock.after(job * 20 + 10, () => submit(network, 0, `theirs${job}`, 1))
     }
-    await advanceLooking(network, 400)
+    await advanceCheckingEchoes(network, 400)
     expect(network.counts.hosted).toBeGreaterThan(4)
     const diedAt = network.leased.clock.now()
     network.cutStream({ toHost: true })
     network.kill(0)
-    await advanceLooking(network, 250)
-    expect(aliveAtOf(network)).toBeLessThanOrEqual(diedAt)
-    expect(aliveAtOf(network)).toBeGreaterThan(0)
+    await advanceCheckingEchoes(network, 250)
+    expect(originAliveAt(network)).toBeLessThanOrEqual(diedAt)
+    expect(originAliveAt(network)).toBeGreaterThan(0)
   })
 
   it.each([1, 2, 3, 4, 5, 6])('whatever fails in whichever order, no two runs overlap (seed %i)', async (seed) => {
     const random = seededRandom(seed)
-    const network = await started()
+    const network = await createNetwork()
     for (const endpoint of network.leased.endpoints) endpoint.runMs = 300
     const draw = (count: number) => Math.floor(random() * count)
     const healAll = () => {
@@ -231,18 +231,18 @@
         alive.delete(first[0])
         network.leased.clock.after(RESEND_MS, () => submit(network, 2, first[0], 2))
       }
-      await advanceLooking(network, 5 * (1 + draw(20)))
+      await advanceCheckingEchoes(network, 5 * (1 + draw(20)))
     }
     healAll()
     await network.advance(12_000)
-    expect(overlaps(network.leased.endpoints)).toEqual([])
+    expect(overlappingRuns(network.leased.endpoints)).toEqual([])
     expect(network.counts.hosted).toBeGreaterThan(3)
-    for (const id of alive.keys()) expect(network.leased.ends.has(id)).toBe(true)
+    for (const id of alive.keys()) expect(network.leased.jobEnds.has(id)).toBe(true)
     expect(network.entries[0]!.router.outstanding).toBe(0)
   })
 
   it('the caller goes while the offer is under way: what begins is stopped, and the job may be sent again', async () => {
-    const network = await started()
+    const network = await createNetwork()
     for (const endpoint of network.leased.endpoints) endpoint.runMs = 400
     network.cutStream({ toHost: true })
     submit(network, 0, 'j', 2).leave()
@@ -250,12 +250,12 @@
     await network.advance(50)
     network.cutStream({ toHost: false })
     await network.advance(1500)
-    expect(network.leased.ends.get('j')).toEqual({ type: 'complete' })
-    expect(overlaps(network.leased.endpoints)).toEqual([])
+    expect(network.leased.jobEnds.get('j')).toEqual({ type: 'complete' })
+    expect(overlappingRuns(network.leased.endpoints)).toEqual([])
   })
 
   it('the neighbour\'s own jobs go on when the caller\'s entry falls silent', async () => {
-    const network = await started()
+    const network = await createNetwork()
     for (const endpoint of network.leased.endpoints) endpoint.runMs = 1500
     submit(network, 0, 'theirs', 2)
     await network.advance(60)
@@ -263,17 +263,17 @@
     await network.advance(60)
     network.kill(0)
     await network.advance(2000)
-    expect(network.leased.ends.get('own')).toEqual({ type: 'complete' })
-    expect(network.leased.startsEnded.get(REASONS.leaseExpired)).toBeUndefined()
-    expect(oldestEcho(network, 1)).toBeLessThan(400)
+    expect(network.leased.jobEnds.get('own')).toEqual({ type: 'complete' })
+    expect(network.leased.endedStartCounts.get(REASONS.leaseExpired)).toBeUndefined()
+    expect(oldestEchoAgeMs(network, 1)).toBeLessThan(400)
   })
 
   it('a job of another entry that cannot be started does not hold up the neighbour\'s own', async () => {
-    const network = await started()
+    const network = await createNetwork()
     network.cutStream({ toHost: true })
     await network.advance(160)
     submit(network, 1, 'own', 1)
     await network.advance(300)
-    expect(network.leased.ends.get('own')).toEqual({ type: 'complete' })
+    expect(network.leased.jobEnds.get('own')).toEqual({ type: 'complete' })
   })
 })
--- a/packages/coordination/tests/handoff/handOnNetwork.ts
+++ b/packages/coordination/tests/handoff/handOnNetwork.ts
@@ -1,9 +1,9 @@
 import { create } from '@bufbuild/protobuf'
-import type { CallerView, HandOnLimits } from '@hazellift/decisions'
+import type { OriginView, HandOnLimits } from '@hazellift/decisions'
 import { CallerFrameSchema, HandOnHelloSchema, HostFrameSchema } from '@hazellift/protocol'
 import { HandedOnJobs, HostedJobs, LeasedJobs, longestWait } from '../../src/index.js'
 import type { HandOnLink } from '../../src/index.js'
-import { LeasedNetwork, TIMES } from '../leased/leasedNetwork.js'
+import { LeasedNetwork, LEASE_TIMES } from '../leased/leasedNetwork.js'
 
 const STEP_MS = 5
 const SWEEP_MS = 25
@@ -24,33 +24,33 @@
 /** A stream from one entry to another, with each way of it held up or not. */
 interface Stream {
   isCut: { toHost: boolean, toCaller: boolean }
-  held: { toHost: Array<() => void>, toCaller: Array<() => void> }
+  delayed: { toHost: Array<() => void>, toCaller: Array<() => void> }
   /** Both processes forget it, without a word to either. */
-  vanish: (side: 'host' | 'caller') => void
-  isOver: () => boolean
+  drop: (side: 'host' | 'caller') => void
+  isClosed: () => boolean
 }
 
 /** Entries that hand work on, with agents, on a fake clock. The stream goes from entry 0 to entry 1. */
 export class HandOnNetwork {
   readonly leased: LeasedNetwork
   readonly entries: HandOnEntry[] = []
-  readonly counts = { handedOn: 0, hosted: 0, refused: 0, sponsorLost: 0, peerLost: 0, returned: [] as string[] }
+  readonly counts = { handedOn: 0, hosted: 0, refused: 0, originEntryLost: 0, peerLost: 0, returned: [] as string[] }
   limits: HandOnLimits = { maxOutstanding: 100, maxShare: 1.1 }
   private stream: Stream | undefined
-  private passedMs = 0
+  private elapsedMs = 0
   private mayDial = true
 
   constructor (private readonly entryCount: number, private readonly agentCount: number) {
-    this.leased = new LeasedNetwork(entryCount, agentCount, TIMES, CAPACITY)
-    for (let index = 0; index < entryCount; index++) this.entries.push(this.wire(index))
+    this.leased = new LeasedNetwork(entryCount, agentCount, LEASE_TIMES, CAPACITY)
+    for (let index = 0; index < entryCount; index++) this.entries.push(this.createEntry(index))
   }
 
   /** Moves time on, with everything that happens meanwhile. */
   async advance (ms: number): Promise<void> {
     for (let passed = 0; passed < ms; passed += STEP_MS) {
-      if (this.passedMs % SWEEP_MS === 0) this.sweep()
+      if (this.elapsedMs % SWEEP_MS === 0) this.sweep()
       await this.leased.advance(STEP_MS)
-      this.passedMs += STEP_MS
+      this.elapsedMs += STEP_MS
     }
   }
 
@@ -70,15 +70,15 @@
 
   /** The entry's process dies; another one begins. Nobody dials again. */
   kill (index: number): void {
-    this.stream?.vanish(index === 1 ? 'host' : 'caller')
+    this.stream?.drop(index === 1 ? 'host' : 'caller')
     this.leased.killEntry(index)
-    this.entries[index] = this.wire(index)
+    this.entries[index] = this.createEntry(index)
     this.mayDial = false
   }
 
   private sweep (): void {
     const now = this.leased.clock.now()
-    if (this.mayDial && (this.stream === undefined || this.stream.isOver()) && !this.entries[0]!.isFrozen) this.dial()
+    if (this.mayDial && (this.stream === undefined || this.stream.isClosed()) && !this.entries[0]!.isFrozen) this.dial()
     for (const { router, host, isFrozen } of this.entries) {
       if (isFrozen) continue
       router.sweep(now)
@@ -86,21 +86,21 @@
     }
   }
 
-  private wire (index: number): HandOnEntry {
+  private createEntry (index: number): HandOnEntry {
     const leased = this.leased.entries[index]!
     const { dispatcher } = leased
     const { clock } = this.leased
-    const own = (): CallerView => ({ lagMs: entry.lagMs, returnedShare: 0, waitMs: longestWait(dispatcher.fleet, clock.now()) })
+    const own = (): OriginView => ({ lagMs: entry.lagMs, returnedShare: 0, waitMs: longestWait(dispatcher.fleet, clock.now()) })
     const router = new HandedOnJobs({
       clock,
       zone: ZONE,
-      times: TIMES,
+      times: LEASE_TIMES,
       dispatcher,
-      own,
+      ownLoad: own,
       limits: () => this.limits,
       events: {
         handedOn: () => { this.counts.handedOn++ },
-        kept: () => {},
+        notHandedOn: () => {},
         ended: () => {},
         returned: (_job, reason, isPlaced) => { this.counts.returned.push(`${reason} ${isPlaced ? 'placed' : 'given up'}`) },
         peerLost: () => { this.counts.peerLost++ }
@@ -111,12 +111,12 @@
       dispatcher,
       fleet: dispatcher.fleet,
       find: (key) => router.find(key),
-      own,
+      ownLoad: own,
       isStopping: () => entry.isStopping,
       events: {
         hosted: () => { this.counts.hosted++ },
         refused: () => { this.counts.refused++ },
-        sponsorLost: () => { this.counts.sponsorLost++ }
+        originEntryLost: () => { this.counts.originEntryLost++ }
       }
     })
     leased.jobs = new LeasedJobs(clock, router)
@@ -125,65 +125,65 @@
   }
 
   private flush (): void {
-    const { isCut, held } = this.stream!
+    const { isCut, delayed: held } = this.stream!
     for (const way of ['toHost', 'toCaller'] as const) if (!isCut[way]) for (const fn of held[way].splice(0)) fn()
   }
 
   private dial (): void {
     const { router } = this.entries[0]!
     const { host } = this.entries[1]!
-    const open = { caller: true, host: true }
+    const isOpen = { caller: true, host: true }
     const stream: Stream = {
       isCut: { toHost: false, toCaller: false },
-      held: { toHost: [], toCaller: [] },
-      vanish: (side) => {
-        open[side] = false
+      delayed: { toHost: [], toCaller: [] },
+      drop: (side) => {
+        isOpen[side] = false
         if (side === 'host') deliver('toCaller', closeCaller)
         else deliver('toHost', closeHost)
       },
-      isOver: () => !open.caller && !open.host
+      isClosed: () => !isOpen.caller && !isOpen.host
     }
     const deliver = (way: 'toHost' | 'toCaller', fn: () => void): void => {
-      if (stream.isCut[way]) stream.held[way].push(fn)
+      if (stream.isCut[way]) stream.delayed[way].push(fn)
       else setImmediate(fn)
     }
     const closeHost = (): void => {
-      if (!open.host) return
-      open.host = false
-      host.closed(hosted)
+      if (!isOpen.host) return
+      isOpen.host = false
+      host.closed(originPeer)
       deliver('toCaller', closeCaller)
     }
     const closeCaller = (): void => {
-      if (!open.caller) return
-      open.caller = false
-      router.closed(peer)
+      if (!isOpen.caller) return
+      isOpen.caller = false
+      router.closed(hostPeer)
       deliver('toHost', closeHost)
     }
     const toHost: HandOnLink<ReturnType<typeof newCallerFrame>> = {
       add: (add) => {
-        if (!open.caller) return
+        if (!isOpen.caller) return
         const frame = newCallerFrame()
         add(frame)
-        router.stamp(peer, frame)
-        deliver('toHost', () => { if (open.host) host.onFrame(hosted, frame) })
+        router.fillFrame(hostPeer, frame)
+        deliver('toHost', () => { if (isOpen.host) host.onFrame(originPeer, frame) })
       },
       close: () => closeCaller()
     }
     const toCaller: HandOnLink<ReturnType<typeof newHostFrame>> = {
       add: (add) => {
-        if (!open.host) return
+        if (!isOpen.host) return
         const frame = newHostFrame()
         add(frame)
         setImmediate(() => {
-          host.stamp(hosted, frame)
-          deliver('toCaller', () => { if (open.caller) router.onFrame(peer, frame) })
+          host.fillFrame(originPeer, frame)
+          deliver('toCaller', () => { if (isOpen.caller) router.onFrame(hostPeer, frame) })
         })
       },
       close: () => closeHost()
     }
     this.stream = stream
-    const peer = router.open('host:1', ZONE, toHost)
-    const hosted = host.open(create(HandOnHelloSchema, { entryId: 'caller', zone: ZONE }), toCaller)
+    const hostPeer = router.open('host:1', ZONE, toHost)
+    const originPeer = host.open(create(HandOnHelloSchema, { entryId: 'caller', zone: ZONE }), toCaller)
   }
 }
 
--- a/packages/coordination/tests/leased/capacity.test.ts
+++ b/packages/coordination/tests/leased/capacityChanges.test.ts
@@ -1,7 +1,7 @@
 import fc from 'fast-check'
 import { describe, expect, it } from 'vitest'
-import { overlaps } from './fakeEndpoint.js'
-import { LeasedNetwork, TIMES } from './leasedNetwork.js'
+import { overlappingRuns } from './fakeEndpoint.js'
+import { LeasedNetwork, LEASE_TIMES } from './leasedNetwork.js'
 
 /** Each task of these jobs takes 1600. */
 const cpu = (cpuMilli: number) => ({ cpuMilli, memoryMb: 4000 })
@@ -14,7 +14,7 @@
   return network
 }
 
-const runningAt = (network: LeasedNetwork): number => network.endpoints.reduce((sum, { open }) => sum + open.length, 0)
+const runningAt = (network: LeasedNetwork): number => network.endpoints.reduce((sum, { openRuns: open }) => sum + open.length, 0)
 
 describe('a capacity that changes while work runs', () => {
   const changes = [
@@ -33,8 +33,8 @@
     await network.advance(100)
     expect(runningAt(network)).toBe(running)
     await network.advance(400)
-    expect(network.ends.get('before')).toEqual({ type: 'complete' })
-    expect(network.agents[0]!.endpoint.overfilled).toEqual([])
+    expect(network.jobEnds.get('before')).toEqual({ type: 'complete' })
+    expect(network.agents[0]!.endpoint.startsOverCapacity).toEqual([])
   })
 
   it('shrinks below what runs: nothing starts until it fits, and then it does', async () => {
@@ -44,8 +44,8 @@
     network.setCapacity(0, cpu(1700))
     network.submit(0, 'after', 2, LONG)
     await network.advance(1200)
-    expect(network.ends.get('after')).toEqual({ type: 'complete' })
-    expect(network.agents[0]!.endpoint.overfilled).toEqual([])
+    expect(network.jobEnds.get('after')).toEqual({ type: 'complete' })
+    expect(network.agents[0]!.endpoint.startsOverCapacity).toEqual([])
   })
 
   it('shrinks to nothing and grows again: what waits starts soon', async () => {
@@ -54,7 +54,7 @@
     await network.advance(100)
     network.submit(0, 'refused', 1, LONG)
     await network.advance(50)
-    expect(network.ends.get('refused')).toMatchObject({ type: 'refused', reason: 'no_endpoint' })
+    expect(network.jobEnds.get('refused')).toMatchObject({ type: 'refused', reason: 'no_endpoint' })
     network.setCapacity(0, cpu(4000))
     await network.advance(20)
     network.submit(0, 'taken', 1, LONG)
@@ -87,7 +87,7 @@
     network.setCapacity(0, cpu(1700))
     endpoint.fault = () => 'none'
     await network.advance(200)
-    expect(endpoint.overfilled).toEqual([])
+    expect(endpoint.startsOverCapacity).toEqual([])
   })
 
   it('whatever changes when, no start brings what runs over the capacity told last', async () => {
@@ -106,17 +106,17 @@
         if (act.type === 'restart_agent') network.killAgent(act.agent)
         await network.advance(act.type === 'wait' ? act.ms : 5)
       }
-      for (const { overfilled } of network.endpoints) expect(overfilled).toEqual([])
-      expect(overlaps(network.endpoints)).toEqual([])
+      for (const { startsOverCapacity: overfilled } of network.endpoints) expect(overfilled).toEqual([])
+      expect(overlappingRuns(network.endpoints)).toEqual([])
     }), { seed: 31, numRuns: 60 })
   }, 60_000)
 
   it('the check notices a capacity that is not passed on', async () => {
-    const network = new LeasedNetwork(1, 1, TIMES)
+    const network = new LeasedNetwork(1, 1, LEASE_TIMES)
     await network.advance(500)
-    network.agents[0]!.endpoint.capacityMilli = 1700
+    network.agents[0]!.endpoint.announcedCpuMilli = 1700
     network.submit(0, 'j', 2, LONG)
     await network.advance(50)
-    expect(network.agents[0]!.endpoint.overfilled).not.toEqual([])
+    expect(network.agents[0]!.endpoint.startsOverCapacity).not.toEqual([])
   })
 })
--- a/packages/coordination/tests/leased/crashes.test.ts
+++ b/packages/coordination/tests/leased/endpointCrashes.test.ts
@@ -2,8 +2,8 @@
 import { REASONS } from '@hazellift/protocol'
 import fc from 'fast-check'
 import { describe, expect, it } from 'vitest'
-import { overlaps } from './fakeEndpoint.js'
-import type { DownFate } from './fakeEndpoint.js'
+import { overlappingRuns } from './fakeEndpoint.js'
+import type { CrashMode } from './fakeEndpoint.js'
 import { LeasedNetwork } from './leasedNetwork.js'
 
 const JOIN_MS = 500
@@ -32,7 +32,7 @@
 const crashesOf = ({ runEvents }: LeasedNetwork, task: string): number => runEvents.filter(({ what, name }) => what === 'crash' && name === task).length
 
 describe('a task that crashes the endpoints that start it', () => {
-  const cases: Array<{ name: string, down: DownFate, afterMs: number, backMs: number, crashes: number }> = [
+  const cases: Array<{ name: string, down: CrashMode, afterMs: number, backMs: number, crashes: number }> = [
     { name: 'at once, and connections are refused', down: 'refused', afterMs: 0, backMs: 3000, crashes: 2 },
     { name: 'after a while, and connections are refused', down: 'refused', afterMs: 70, backMs: 3000, crashes: 2 },
     { name: 'and it is back soon', down: 'refused', afterMs: 20, backMs: 200, crashes: 2 },
@@ -42,59 +42,59 @@
   ]
   it.each(cases)('$name: its job is failed, clearly and for good', async ({ down, afterMs, backMs, crashes }) => {
     const network = await started(1, 7)
-    network.poison((submission) => isBad(submission) ? afterMs : undefined, down, backMs)
+    network.setCrashPlan((submission) => isBad(submission) ? afterMs : undefined, down, backMs)
     network.submit(0, 'bad', 1, PATIENT)
     await network.advance(9000)
-    const end = network.ends.get('bad')
+    const end = network.jobEnds.get('bad')
     expect(end).toMatchObject({ type: 'failed', reason: REASONS.taskCrashesEndpoints })
     expect(crashesOf(network, 'bad.0')).toBe(crashes)
-    network.ends.delete('bad')
+    network.jobEnds.delete('bad')
     network.submit(0, 'bad', 1, PATIENT)
     await network.advance(100)
-    expect(network.ends.get('bad')).toEqual(end)
+    expect(network.jobEnds.get('bad')).toEqual(end)
     expect(crashesOf(network, 'bad.0')).toBe(crashes)
     expect(Math.max(...startsAfterThird(network))).toBeLessThan(BROKEN_AFTER)
   })
 
   it('its job\'s other tasks are stopped, and jobs beside it are served', async () => {
     const network = await started(1, 6)
-    network.poison((submission) => isBad(submission) ? 30 : undefined, 'refused', 2000)
+    network.setCrashPlan((submission) => isBad(submission) ? 30 : undefined, 'refused', 2000)
     network.submit(0, 'bad', 1, PATIENT)
     for (let job = 0; job < 8; job++) {
       network.submit(0, `good${job}`, 2, PATIENT)
       await network.advance(150)
     }
     await network.advance(4000)
-    expect(network.ends.get('bad')).toMatchObject({ type: 'failed', reason: REASONS.taskCrashesEndpoints })
-    for (let job = 0; job < 8; job++) expect(network.ends.get(`good${job}`)).toEqual({ type: 'complete' })
-    expect(overlaps(network.endpoints)).toEqual([])
+    expect(network.jobEnds.get('bad')).toMatchObject({ type: 'failed', reason: REASONS.taskCrashesEndpoints })
+    for (let job = 0; job < 8; job++) expect(network.jobEnds.get(`good${job}`)).toEqual({ type: 'complete' })
+    expect(overlappingRuns(network.endpoints)).toEqual([])
   })
 
   it('the caller\'s connection breaks after each crash: it counts on', async () => {
     const network = await started(1, 6)
-    network.poison((submission) => isBad(submission) ? 20 : undefined, 'refused', 5000)
+    network.setCrashPlan((submission) => isBad(submission) ? 20 : undefined, 'refused', 5000)
     for (let tries = 0; tries < 4; tries++) {
       const { leave } = network.submit(0, 'bad', 1, PATIENT)
       await network.advance(1000)
       leave()
       await network.advance(RESEND_MS)
     }
-    expect(network.ends.get('bad')).toMatchObject({ type: 'failed', reason: REASONS.taskCrashesEndpoints })
+    expect(network.jobEnds.get('bad')).toMatchObject({ type: 'failed', reason: REASONS.taskCrashesEndpoints })
     expect(crashesOf(network, 'bad.0')).toBe(2)
   })
 
   it.each([200, 700, 1000, 1600, 1900])('its entry dies %i ms after it came, and it is sent again elsewhere', async (atMs) => {
     const network = await started(2, 8)
-    network.poison((submission) => isBad(submission) ? 20 : undefined, 'refused', 3000)
+    network.setCrashPlan((submission) => isBad(submission) ? 20 : undefined, 'refused', 3000)
     network.submit(0, 'bad', 1, PATIENT)
     await network.advance(atMs)
     network.killEntry(0)
     await network.advance(RESEND_MS)
     network.submit(1, 'bad', 1, PATIENT)
     await network.advance(5000)
-    expect(network.ends.get('bad')).toMatchObject({ type: 'failed', reason: REASONS.taskCrashesEndpoints })
+    expect(network.jobEnds.get('bad')).toMatchObject({ type: 'failed', reason: REASONS.taskCrashesEndpoints })
     expect(Math.max(...startsAfterThird(network))).toBeLessThan(BROKEN_AFTER)
-    expect(overlaps(network.endpoints)).toEqual([])
+    expect(overlappingRuns(network.endpoints)).toEqual([])
   })
 })
 
@@ -151,25 +151,25 @@
   ]
   it.each(cases)('$name: jobs complete', async ({ act }) => {
     const network = await started(1, 8)
-    network.poison(() => undefined, 'refused', 300)
+    network.setCrashPlan(() => undefined, 'refused', 300)
     for (const { endpoint } of network.agents) endpoint.runMs = RUN_MS
     for (let job = 0; job < JOBS; job++) network.submit(0, `good${job}`, 2, { ...PATIENT, estimateMs: RUN_MS })
     await network.advance(300)
     await act(network)
     await network.advance(8000)
-    for (let job = 0; job < JOBS; job++) expect(network.ends.get(`good${job}`)).toEqual({ type: 'complete' })
-    expect(overlaps(network.endpoints)).toEqual([])
+    for (let job = 0; job < JOBS; job++) expect(network.jobEnds.get(`good${job}`)).toEqual({ type: 'complete' })
+    expect(overlappingRuns(network.endpoints)).toEqual([])
   })
 })
 
 describe('whatever else happens', () => {
   it('a task is never started three times more after three endpoints have crashed under it', async () => {
-    const downs = fc.constantFrom<DownFate>('refused', 'silent', 'stuck')
+    const downs = fc.constantFrom<CrashMode>('refused', 'silent', 'stuck')
     const days = fc.record({ seed: fc.nat(), down: downs, afterMs: fc.integer({ min: 0, max: 150 }), backMs: fc.integer({ min: 100, max: 5000 }), killAtMs: fc.integer({ min: 100, max: 6000 }) })
     await fc.assert(fc.asyncProperty(days, async ({ seed, down, afterMs, backMs, killAtMs }) => {
       const random = seededRandom(seed)
       const network = await started(2, 6)
-      network.poison((submission) => isBad(submission) ? afterMs : undefined, down, backMs)
+      network.setCrashPlan((submission) => isBad(submission) ? afterMs : undefined, down, backMs)
       for (let passedMs = 0, job = 0; passedMs < 6000; passedMs += 200, job++) {
         network.submit(Math.floor(random() * 2), `${random() < 0.15 ? 'bad' : 'good'}${job}`, 1 + Math.floor(random() * 3), PATIENT)
         if (Math.abs(passedMs - killAtMs) < 100) network.crashEndpoint(Math.floor(random() * 6), backMs)
@@ -177,7 +177,7 @@
       }
       await network.advance(6000)
       expect(Math.max(0, ...startsAfterThird(network))).toBeLessThan(BROKEN_AFTER)
-      expect(overlaps(network.endpoints)).toEqual([])
+      expect(overlappingRuns(network.endpoints)).toEqual([])
     }), { seed: 31, numRuns: 12 })
   }, 120_000)
 })
--- a/packages/coordination/tests/leased/authorities.test.ts
+++ b/packages/coordination/tests/leased/entryLeases.test.ts
@@ -1,6 +1,6 @@
 import { SuspensionWatch } from '@hazellift/common'
 import { describe, expect, it } from 'vitest'
-import { Authorities } from '../../src/leased/authorities.js'
+import { EntryLeases } from '../../src/leased/entryLeases.js'
 import { createFakeClock } from '../fakeClock.js'
 import { ProcessClock } from '../processClock.js'
 import type { BootClock } from '../processClock.js'
@@ -19,18 +19,18 @@
   asked = 0
   readonly process: ProcessClock
   private readonly world = createFakeClock()
-  private readonly authorities: Authorities
+  private readonly authorities: EntryLeases
 
   constructor (boot: BootClock) {
     this.process = new ProcessClock(this.world, boot)
-    this.authorities = new Authorities({
+    this.authorities = new EntryLeases({
       clock: this.process,
       watch: new SuspensionWatch(this.process),
-      authorityMs: AUTHORITY_MS,
-      doubtMs: DOUBT_MS,
+      entryLeaseMs: AUTHORITY_MS,
+      verificationMs: DOUBT_MS,
       isOpen: () => this.isOpen,
-      onDoubt: () => { this.asked++ },
-      onLapse: () => { this.lapses++ }
+      onUnverified: () => { this.asked++ },
+      onExpired: () => { this.lapses++ }
     })
     this.pass(1000)
     this.echo()
@@ -41,9 +41,9 @@
   }
 
   get state (): State {
-    this.authorities.look()
-    if (this.authorities.has(ENTRY)) return STATES.has
-    return this.authorities.isDoubtful(ENTRY) ? STATES.doubtful : STATES.over
+    this.authorities.check()
+    if (this.authorities.isValid(ENTRY)) return STATES.has
+    return this.authorities.isUnverified(ENTRY) ? STATES.doubtful : STATES.over
   }
 
   pass (ms: number): void {
@@ -62,7 +62,7 @@
 
   session (isOpen: boolean): void {
     this.isOpen = isOpen
-    this.authorities.onSession(ENTRY)
+    this.authorities.onSessionChange(ENTRY)
   }
 }
 
@@ -71,8 +71,8 @@
     { name: 'nothing happened', act: () => {}, state: STATES.has },
     { name: 'a suspension', act: (fixture) => fixture.suspend(300), state: STATES.doubtful },
     { name: 'a suspension that is certain', boot: 'true', act: (fixture) => fixture.suspend(300), state: STATES.over },
-    { name: 'a step ahead', boot: 'true', act: ({ process }) => process.stepDay(60_000), state: STATES.doubtful },
-    { name: 'a step back', act: ({ process }) => process.stepDay(-60_000), state: STATES.has },
+    { name: 'a step ahead', boot: 'true', act: ({ process }) => process.stepWallClock(60_000), state: STATES.doubtful },
+    { name: 'a step back', act: ({ process }) => process.stepWallClock(-60_000), state: STATES.has },
     {
       name: 'a suspension without a session',
       act: (fixture) => {
@@ -177,7 +177,7 @@
       name: 'steps ahead and back, again and again, each echoed',
       act: (fixture) => {
         for (const ms of [5000, -5000, 5000, -5000]) {
-          fixture.process.stepDay(ms)
+          fixture.process.stepWallClock(ms)
           expect(fixture.state).toBe(ms > 0 ? STATES.doubtful : STATES.has)
           fixture.pass(10)
           fixture.echo()
@@ -206,13 +206,13 @@
   it('an entry that was not known before gets no authority by a stamp from before', () => {
     const world = createFakeClock()
     const process = new ProcessClock(world)
-    const authorities = new Authorities({
-      clock: process, watch: new SuspensionWatch(process), authorityMs: AUTHORITY_MS, doubtMs: DOUBT_MS, isOpen: () => true, onDoubt: () => {}, onLapse: () => {}
+    const authorities = new EntryLeases({
+      clock: process, watch: new SuspensionWatch(process), entryLeaseMs: AUTHORITY_MS, verificationMs: DOUBT_MS, isOpen: () => true, onUnverified: () => {}, onExpired: () => {}
     })
     world.advance(1000)
     process.suspend(5000)
     world.advance(5000)
     authorities.renew('new', 900)
-    expect(authorities.has('new')).toBe(false)
+    expect(authorities.isValid('new')).toBe(false)
   })
 })
--- a/packages/coordination/tests/leased/leased.test.ts
+++ b/packages/coordination/tests/leased/ephemeralJobs.test.ts
@@ -2,35 +2,35 @@
 import { REASONS } from '@hazellift/protocol'
 import fc from 'fast-check'
 import { describe, expect, it } from 'vitest'
-import { provedOverMs } from '../../src/index.js'
-import { CAPACITY, overlaps } from './fakeEndpoint.js'
+import { terminationBoundMs } from '../../src/index.js'
+import { CAPACITY, overlappingRuns } from './fakeEndpoint.js'
 import type { CallFault } from './fakeEndpoint.js'
-import { LeasedNetwork, TIMES } from './leasedNetwork.js'
+import { LeasedNetwork, LEASE_TIMES } from './leasedNetwork.js'
 
 const RESEND_MS = 1300
 const JOIN_MS = 400
 /** How finely the tests move time on. */
 const STEP_MS = 5
 
-const started = async (entries: number, agents: number, times = TIMES): Promise<LeasedNetwork> => {
+const started = async (entries: number, agents: number, times = LEASE_TIMES): Promise<LeasedNetwork> => {
   const network = new LeasedNetwork(entries, agents, times)
   await network.advance(JOIN_MS)
   return network
 }
 
 const runsOf = (network: LeasedNetwork): number =>
-  network.endpoints.reduce((sum, { past, open }) => sum + past.length + open.length, 0)
+  network.endpoints.reduce((sum, { endedRuns: past, openRuns: open }) => sum + past.length + open.length, 0)
 
 describe('jobs that are not kept', () => {
   it('the bound after which a task is over is below the time after which callers send again', () => {
-    expect(provedOverMs(TIMES)).toBeLessThan(RESEND_MS)
+    expect(terminationBoundMs(LEASE_TIMES)).toBeLessThan(RESEND_MS)
   })
 
   it('all tasks run once and the job completes', async () => {
     const network = await started(1, 2)
     network.submit(0, 'j', 4)
     await network.advance(300)
-    expect(network.ends.get('j')).toEqual({ type: 'complete' })
+    expect(network.jobEnds.get('j')).toEqual({ type: 'complete' })
     expect(runsOf(network)).toBe(4)
   })
 
@@ -38,9 +38,9 @@
     const network = await started(3, 2)
     for (let job = 0; job < 12; job++) network.submit(job % 3, `j${job}`, 3)
     await network.advance(3000)
-    expect([...network.ends.values()].filter(({ type }) => type === 'complete')).toHaveLength(12)
-    for (const endpoint of network.endpoints) expect(endpoint.mostCpu).toBeLessThanOrEqual(CAPACITY.cpuMilli)
-    expect(overlaps(network.endpoints)).toEqual([])
+    expect([...network.jobEnds.values()].filter(({ type }) => type === 'complete')).toHaveLength(12)
+    for (const endpoint of network.endpoints) expect(endpoint.peakCpuMilli).toBeLessThanOrEqual(CAPACITY.cpuMilli)
+    expect(overlappingRuns(network.endpoints)).toEqual([])
   })
 
   const sessions: Array<{ name: string, jobs: number, mostFrames: number }> = [
@@ -51,16 +51,16 @@
     const network = await started(1, 1)
     network.endpoints[0]!.runMs = 2800
     for (let job = 0; job < jobs; job++) network.submit(0, `j${job}`, 1, { estimateMs: 2800 })
-    const before = network.entryFrames
+    const before = network.entryFrameCount
     await network.advance(3000)
-    expect(network.entryFrames - before).toBeLessThanOrEqual(mostFrames)
-    expect([...network.ends.values()]).toEqual(Array.from({ length: jobs }, () => ({ type: 'complete' })))
+    expect(network.entryFrameCount - before).toBeLessThanOrEqual(mostFrames)
+    expect([...network.jobEnds.values()]).toEqual(Array.from({ length: jobs }, () => ({ type: 'complete' })))
     expect(runsOf(network)).toBe(jobs)
   })
 
   const crowds = [{ entries: 3, agents: 11 }, { entries: 10, agents: 20 }]
   it.each(crowds)('of the starts of $entries entries at $agents agents, few arrive in vain', async ({ entries, agents }) => {
-    const network = new LeasedNetwork(entries, agents, TIMES, { cpuMilli: 16_000, memoryMb: 8000 })
+    const network = new LeasedNetwork(entries, agents, LEASE_TIMES, { cpuMilli: 16_000, memoryMb: 8000 })
     await network.advance(JOIN_MS)
     for (const endpoint of network.endpoints) endpoint.runMs = 200
     const random = seededRandom(7)
@@ -73,9 +73,9 @@
       }
       await network.advance(STEP_MS)
     }
-    const done = network.startsEnded.get('done')!
+    const done = network.endedStartCounts.get('done')!
     expect(done).toBeGreaterThan(1000)
-    expect((network.startsEnded.get(REASONS.noSlot) ?? 0) / done).toBeLessThan(0.1)
+    expect((network.endedStartCounts.get(REASONS.noSlot) ?? 0) / done).toBeLessThan(0.1)
   })
 
   const faults: Array<{ name: string, act: (network: LeasedNetwork) => void | Promise<void> }> = [
@@ -127,8 +127,8 @@
     await network.advance(50)
     await act(network)
     await network.advance(6000)
-    expect(network.ends.get('j')).toEqual({ type: 'complete' })
-    expect(overlaps(network.endpoints)).toEqual([])
+    expect(network.jobEnds.get('j')).toEqual({ type: 'complete' })
+    expect(overlappingRuns(network.endpoints)).toEqual([])
   })
 
   it.each(faults)('$name, and the caller\'s entry dies: sent again elsewhere, no two runs overlap', async ({ act }) => {
@@ -142,11 +142,11 @@
     await network.advance(RESEND_MS)
     network.submit(1, 'j', 6)
     await network.advance(6000)
-    expect(network.ends.get('j')).toEqual({ type: 'complete' })
-    expect(overlaps(network.endpoints)).toEqual([])
+    expect(network.jobEnds.get('j')).toEqual({ type: 'complete' })
+    expect(overlappingRuns(network.endpoints)).toEqual([])
   })
 
-  const guards = [{ name: 'authority that outlasts the bound', times: { ...TIMES, authorityMs: 5000 } }]
+  const guards = [{ name: 'authority that outlasts the bound', times: { ...LEASE_TIMES, entryLeaseMs: 5000 } }]
   it.each(guards)('the checks notice $name', async ({ times }) => {
     const network = await started(2, 2, times)
     for (const endpoint of network.endpoints) endpoint.runMs = 3000
@@ -157,7 +157,7 @@
     await network.advance(RESEND_MS)
     network.submit(1, 'j', 2)
     await network.advance(2000)
-    expect(overlaps(network.endpoints)).not.toEqual([])
+    expect(overlappingRuns(network.endpoints)).not.toEqual([])
   })
 
   const orderFaults: Array<{ call: 'start' | 'stop' | 'hold', fault: CallFault }> = [
@@ -172,9 +172,9 @@
     for (let job = 0; job < 6; job++) network.submit(job % 2, `j${job}`, 3)
     network.submit(0, 'left', 2).leave()
     await network.advance(8000)
-    for (let job = 0; job < 6; job++) expect(network.ends.get(`j${job}`)).toEqual({ type: 'complete' })
-    expect(overlaps(network.endpoints)).toEqual([])
-    for (const endpoint of network.endpoints) expect(endpoint.mostCpu).toBeLessThanOrEqual(CAPACITY.cpuMilli)
+    for (let job = 0; job < 6; job++) expect(network.jobEnds.get(`j${job}`)).toEqual({ type: 'complete' })
+    expect(overlappingRuns(network.endpoints)).toEqual([])
+    for (const endpoint of network.endpoints) expect(endpoint.peakCpuMilli).toBeLessThanOrEqual(CAPACITY.cpuMilli)
   })
 
   const silences: Array<{ name: string, call: 'start' | 'stop' | 'hold' | 'all' }> = [
@@ -190,7 +190,7 @@
     await network.advance(500)
     network.submit(0, 'after', 2)
     await network.advance(1000)
-    expect(network.ends.get('after')).toEqual({ type: 'complete' })
+    expect(network.jobEnds.get('after')).toEqual({ type: 'complete' })
   })
 
   it('a job whose caller left may run again once nothing of it runs', async () => {
@@ -201,8 +201,8 @@
     first.leave()
     network.submit(0, 'j', 2, { estimateMs: 400 })
     await network.advance(1500)
-    expect(network.ends.get('j')).toEqual({ type: 'complete' })
-    expect(overlaps(network.endpoints)).toEqual([])
+    expect(network.jobEnds.get('j')).toEqual({ type: 'complete' })
+    expect(overlappingRuns(network.endpoints)).toEqual([])
     expect(runsOf(network)).toBe(4)
   })
 
@@ -219,14 +219,14 @@
 
   it('a task that fails moves, and the job fails once its attempts are used up', async () => {
     const network = await started(1, 2)
-    network.endpoints[0]!.failing = true
+    network.endpoints[0]!.isFailing = true
     network.submit(0, 'one', 1)
     await network.advance(600)
-    expect(network.ends.get('one')).toEqual({ type: 'complete' })
-    network.endpoints[1]!.failing = true
+    expect(network.jobEnds.get('one')).toEqual({ type: 'complete' })
+    network.endpoints[1]!.isFailing = true
     network.submit(0, 'two', 1)
     await network.advance(600)
-    expect(network.ends.get('two')).toMatchObject({ type: 'failed', reason: REASONS.taskFailed })
+    expect(network.jobEnds.get('two')).toMatchObject({ type: 'failed', reason: REASONS.taskFailed })
   })
 
   it('a task that stands still is moved', async () => {
@@ -234,8 +234,8 @@
     network.endpoints[0]!.runMs = 60_000
     network.submit(0, 'j', 1)
     await network.advance(1500)
-    expect(network.ends.get('j')).toEqual({ type: 'complete' })
-    expect(overlaps(network.endpoints)).toEqual([])
+    expect(network.jobEnds.get('j')).toEqual({ type: 'complete' })
+    expect(overlappingRuns(network.endpoints)).toEqual([])
   })
 
   it('a job that is three times as long as its caller guessed is left where it runs', async () => {
@@ -243,7 +243,7 @@
     for (const endpoint of network.endpoints) endpoint.runMs = 300
     network.submit(0, 'j', 3, { estimateMs: 100 })
     await network.advance(1500)
-    expect(network.ends.get('j')).toEqual({ type: 'complete' })
+    expect(network.jobEnds.get('j')).toEqual({ type: 'complete' })
     expect(runsOf(network)).toBe(3)
   })
 
@@ -252,8 +252,8 @@
     network.endpoints[0]!.runMs = 60_000
     network.submit(0, 'j', 2)
     await network.advance(700)
-    expect(network.ends.get('j')).toEqual({ type: 'complete' })
-    expect(overlaps(network.endpoints)).toEqual([])
+    expect(network.jobEnds.get('j')).toEqual({ type: 'complete' })
+    expect(overlappingRuns(network.endpoints)).toEqual([])
   })
 
   it('what cannot be in time is refused at once, and nothing of it starts', async () => {
@@ -261,10 +261,10 @@
     const objective = { stretch: 1.5, slackMs: 50, lateFactor: 3 }
     for (let job = 0; job < 30; job++) network.submit(0, `j${job}`, 2, { objective })
     await network.advance(10)
-    const refused = [...network.ends].filter(([, { type }]) => type === 'refused').map(([id]) => id)
+    const refused = [...network.jobEnds].filter(([, { type }]) => type === 'refused').map(([id]) => id)
     expect(refused.length).toBeGreaterThan(15)
     await network.advance(3000)
-    const ran = new Set(network.endpoints.flatMap(({ past }) => past.map(({ submission }) => submission)))
+    const ran = new Set(network.endpoints.flatMap(({ endedRuns: past }) => past.map(({ submission }) => submission)))
     for (const id of refused) expect(ran.has(id)).toBe(false)
   })
 
@@ -282,8 +282,8 @@
     const objective = { stretch: 1, slackMs: objectiveMs - 100, lateFactor: 3 }
     network.submit(0, 'j', 1, { estimateMs: 100, deadlineMs: 2000, priority: -1, objective })
     await network.advance(ms)
-    if (end === undefined) expect(network.ends.get('j')).toBeUndefined()
-    else expect(network.ends.get('j')).toMatchObject(end)
+    if (end === undefined) expect(network.jobEnds.get('j')).toBeUndefined()
+    else expect(network.jobEnds.get('j')).toMatchObject(end)
   })
 
   it('refusals are only said of jobs of which nothing ever starts', async () => {
@@ -293,8 +293,8 @@
     const objective = { stretch: 1.5, slackMs: 50, lateFactor: 3 }
     for (let job = 0; job < 30; job++) network.submit(job % 2, `j${job}`, 2, { objective })
     await network.advance(6000)
-    const refused = [...network.ends].filter(([, { type }]) => type === 'refused').map(([id]) => id)
-    const ran = new Set(network.endpoints.flatMap(({ past }) => past.map(({ submission }) => submission)))
+    const refused = [...network.jobEnds].filter(([, { type }]) => type === 'refused').map(([id]) => id)
+    const ran = new Set(network.endpoints.flatMap(({ endedRuns: past }) => past.map(({ submission }) => submission)))
     expect(refused.filter((id) => ran.has(id))).toEqual([])
   })
 
@@ -302,7 +302,7 @@
     const network = new LeasedNetwork(1, 1)
     network.submit(0, 'j', 1)
     await network.advance(800)
-    expect(network.ends.get('j')).toEqual({ type: 'complete' })
+    expect(network.jobEnds.get('j')).toEqual({ type: 'complete' })
   })
 
   it('without any endpoint a job is refused at once', async () => {
@@ -310,19 +310,19 @@
     await network.advance(3000)
     network.submit(0, 'j', 1)
     await network.advance(5)
-    expect(network.ends.get('j')).toMatchObject({ type: 'refused', reason: REASONS.noEndpoint })
+    expect(network.jobEnds.get('j')).toMatchObject({ type: 'refused', reason: REASONS.noEndpoint })
   })
 
   it('a configuration document reaches entries that cannot read it, through agents', async () => {
     const network = await started(2, 2)
     network.entries[0]!.dispatcher.sessions.setConfig(7n, Buffer.from('seven'))
     await network.advance(500)
-    expect(network.documents).toContainEqual({ entry: 1, text: 'seven' })
+    expect(network.configDocuments).toContainEqual({ entry: 1, text: 'seven' })
     network.killEntry(0)
     network.killEntry(1)
-    network.documents.length = 0
+    network.configDocuments.length = 0
     await network.advance(1500)
-    expect(network.documents.map(({ entry }) => entry).sort()).toEqual([0, 1])
+    expect(network.configDocuments.map(({ entry }) => entry).sort()).toEqual([0, 1])
   })
 
   it('any series of faults: no two runs of a task overlap and no endpoint is over its capacity', async () => {
@@ -356,7 +356,7 @@
         if (act.type === 'kill_agent') network.killAgent(act.agent)
         if (act.type === 'kill_entry') {
           for (const [id, { entry, count }] of open) {
-            if (entry !== act.entry || network.ends.has(id)) continue
+            if (entry !== act.entry || network.jobEnds.has(id)) continue
             open.delete(id)
             resend.push({ at: network.clock.now() + RESEND_MS, id, count })
           }
@@ -369,8 +369,8 @@
           resendDue()
         }
       }
-      expect(overlaps(network.endpoints)).toEqual([])
-      for (const endpoint of network.endpoints) expect(endpoint.mostCpu).toBeLessThanOrEqual(CAPACITY.cpuMilli)
+      expect(overlappingRuns(network.endpoints)).toEqual([])
+      for (const endpoint of network.endpoints) expect(endpoint.peakCpuMilli).toBeLessThanOrEqual(CAPACITY.cpuMilli)
     }), { numRuns: 300, seed: 20261202 })
   })
 })
--- a/packages/coordination/tests/leased/evacuations.test.ts
+++ b/packages/coordination/tests/leased/evacuations.test.ts
@@ -1,9 +1,9 @@
 import { seededRandom } from '@hazellift/common'
 import { REASONS } from '@hazellift/protocol'
 import { describe, expect, it } from 'vitest'
-import { CAPACITY, overlaps } from './fakeEndpoint.js'
+import { CAPACITY, overlappingRuns } from './fakeEndpoint.js'
 import type { FakeEndpoint } from './fakeEndpoint.js'
-import { LeasedNetwork, TIMES } from './leasedNetwork.js'
+import { LeasedNetwork, LEASE_TIMES } from './leasedNetwork.js'
 
 // An operator asks that nothing more be sent to the endpoints of a zone. Neither
 // entries nor agents knew of it: the zone's endpoints got every third start until
@@ -19,7 +19,7 @@
 const zoneOf = (agent: number): string => agent < 2 ? 'a' : 'b'
 
 const started = async (entries: number, isJoined = true): Promise<LeasedNetwork> => {
-  const network = new LeasedNetwork(entries, 4, TIMES, CAPACITY, zoneOf)
+  const network = new LeasedNetwork(entries, 4, LEASE_TIMES, CAPACITY, zoneOf)
   if (isJoined) await network.advance(JOIN_MS)
   return network
 }
@@ -27,7 +27,7 @@
 const evacuate = (network: LeasedNetwork, entry: number, version: bigint, zones: string[]): void =>
   network.entries[entry]!.dispatcher.sessions.setEvacuations({ version, zones })
 
-const startsAt = ({ past, open }: FakeEndpoint, since = 0): number => [...past, ...open].filter(({ from }) => from >= since).length
+const startsAt = ({ endedRuns: past, openRuns: open }: FakeEndpoint, since = 0): number => [...past, ...open].filter(({ startedAt: from }) => from >= since).length
 
 /** Starts in the zone "a" and elsewhere since a moment. */
 const startsOf = ({ endpoints }: LeasedNetwork, since: number) => ({
@@ -43,7 +43,7 @@
 }
 
 const completed = (network: LeasedNetwork, prefix: string): number =>
-  [...network.ends].filter(([id, { type }]) => id.startsWith(prefix) && type === 'complete').length
+  [...network.jobEnds].filter(([id, { type }]) => id.startsWith(prefix) && type === 'complete').length
 
 describe('the endpoints of an evacuated zone', () => {
   it('get no start from any entry, while what runs there is finished and answered', async () => {
@@ -60,8 +60,8 @@
     await network.advance(3000)
     expect(startsOf(network, since)).toEqual({ inside: 0, outside: 40 })
     expect([completed(network, 'before'), completed(network, 'after')]).toEqual([4, 20])
-    expect(network.startsEnded.get(REASONS.leaseExpired)).toBeUndefined()
-    expect(overlaps(network.endpoints)).toEqual([])
+    expect(network.endedStartCounts.get(REASONS.leaseExpired)).toBeUndefined()
+    expect(overlappingRuns(network.endpoints)).toEqual([])
   })
 
   it('get none from the moment at which their agents heard of it, though an entry still sends', async () => {
@@ -92,7 +92,7 @@
     await network.advance(10_000)
     expect(startsOf(network, since).inside).toBe(0)
     expect(completed(network, 'j')).toBe(JOBS)
-    expect(overlaps(network.endpoints)).toEqual([])
+    expect(overlappingRuns(network.endpoints)).toEqual([])
   })
 
   it('count for nothing at admission: with all zones evacuated a job is refused at once, as not run', async () => {
@@ -101,7 +101,7 @@
     await network.advance(HEARD_MS)
     network.submit(0, 'j', 2)
     await network.advance(5)
-    expect(network.ends.get('j')).toMatchObject({ type: 'refused', reason: REASONS.noEndpoint })
+    expect(network.jobEnds.get('j')).toMatchObject({ type: 'refused', reason: REASONS.noEndpoint })
   })
 
   it('get work again once the zone is restored', async () => {
@@ -154,7 +154,7 @@
     const [first, second, ...others] = network.endpoints
     const inside = [first!, second!, ...others.slice(2)]
     expect(inside.reduce((sum, endpoint) => sum + startsAt(endpoint, since), 0)).toBe(0)
-    const refused = [...network.ends.values()].filter((end) => end.type === 'refused' && end.reason === REASONS.noEndpoint).length
+    const refused = [...network.jobEnds.values()].filter((end) => end.type === 'refused' && end.reason === REASONS.noEndpoint).length
     expect(completed(network, 'j') + refused).toBe(16)
     expect(refused).toBeLessThanOrEqual(mostRefused)
   })
@@ -186,6 +186,6 @@
       await network.advance(500)
       if (isEvacuating) expect(startsOf(network, since).inside).toBe(0)
     }
-    expect(overlaps(network.endpoints)).toEqual([])
+    expect(overlappingRuns(network.endpoints)).toEqual([])
   })
 })
--- a/packages/coordination/tests/leased/fakeEndpoint.ts
+++ b/packages/coordination/tests/leased/fakeEndpoint.ts
@@ -2,7 +2,7 @@
 import type { Clock } from '@hazellift/common'
 import type { Resources } from '@hazellift/decisions'
 import { RUN_ENDS } from '../../src/index.js'
-import type { HoldOutcome, LeasedEndpoint, ListedEnd, RunEnd, RunRef, StartOrder, StartOutcome } from '../../src/index.js'
+import type { PollOutcome, LeasedEndpoint, ListedEnd, RunEnd, RunRef, StartOrder, StartOutcome } from '../../src/index.js'
 
 interface FakeRun extends RunRef {
   cpuMilli: number
@@ -21,7 +21,7 @@
   | 'late'
 
 /** What calls of an endpoint that has crashed meet. */
-export type DownFate =
+export type CrashMode =
   /** Nothing, for good. */
   | 'stuck'
   /** Nothing within their limits. */
@@ -33,7 +33,7 @@
 export interface Poison {
   /** Time from its start until a task crashes its endpoint; undefined for harmless ones. */
   crashAfterMs: (submission: string) => number | undefined
-  down: DownFate
+  down: CrashMode
   /** The endpoint has crashed. */
   onCrash: () => void
 }
@@ -41,9 +41,9 @@
 const NO_POISON: Poison = { crashAfterMs: () => undefined, down: 'stuck', onCrash: () => {} }
 
 /** A run as it happened, for checks. */
-export interface PastRun extends RunRef {
-  from: number
-  to: number
+export interface RunRecord extends RunRef {
+  startedAt: number
+  endedAt: number
 }
 
 const LATE_MS = 3000
@@ -53,40 +53,40 @@
 
 /** An endpoint with leases, run numbers and a list of ends, on a fake clock. */
 export class FakeEndpoint implements LeasedEndpoint {
-  readonly past: PastRun[] = []
+  readonly endedRuns: RunRecord[] = []
   /** Most of the capacity ever in use. */
-  mostCpu = 0
+  peakCpuMilli = 0
   /** What it has last told that it has, if a test says so; in thousandths of a core. */
-  capacityMilli = Infinity
+  announcedCpuMilli = Infinity
   /** Starts that brought what runs over that. */
-  readonly overfilled: string[] = []
+  readonly startsOverCapacity: string[] = []
   fault: (call: 'start' | 'stop' | 'hold') => CallFault = () => 'none'
   /** How long the next runs take. */
   runMs = 100
-  failing = false
+  isFailing = false
   poison = NO_POISON
   /** Told of each run that begins, and of each that a crash ends. */
   onRun: (what: 'start' | 'crash', name: string) => void = () => {}
   private readonly running = new Map<string, FakeRun>()
-  private readonly endedRuns = new Map<string, number>()
-  private ends: ListedEnd[] = []
+  private readonly highestEndedRun = new Map<string, number>()
+  private listedEnds: ListedEnd[] = []
   private seq = 0
-  private until = 0
+  private leaseEndsAt = 0
   private isDown = false
 
   /** Calls so far, by kind. */
-  readonly calls = { start: 0, stop: 0, hold: 0 }
+  readonly calls = { start: 0, stop: 0, poll: 0 }
 
-  constructor (private readonly clock: Clock, readonly cpuOfTask: (submission: string) => number, private readonly callLimitMs = CALL_LIMIT_MS) {}
+  constructor (private readonly clock: Clock, readonly cpuMilliOf: (submission: string) => number, private readonly callLimitMs = CALL_LIMIT_MS) {}
 
   start = (order: StartOrder): Promise<StartOutcome> => this.call('start', () => this.onStart(order), { type: 'unknown' })
   stop = (run: RunRef): Promise<boolean> => this.call('stop', () => this.onStop(run), false)
 
-  hold: LeasedEndpoint['hold'] = async ({ holdMs, lastSeen, waitMs }) => {
+  poll: LeasedEndpoint['poll'] = async ({ runLeaseMs: holdMs, lastSeen, waitMs }) => {
     const until = holdMs === undefined ? 0 : this.clock.now() + holdMs
     const isSeen = await this.call('hold', () => {
-      this.until = Math.max(this.until, until)
-      this.ends = this.ends.filter(({ seq }) => seq > lastSeen)
+      this.leaseEndsAt = Math.max(this.leaseEndsAt, until)
+      this.listedEnds = this.listedEnds.filter(({ seq }) => seq > lastSeen)
       return true
     }, false)
     if (this.isDown) return { type: 'unknown', isRefused: this.poison.down === 'refused' }
@@ -94,18 +94,18 @@
       await this.clock.sleep(waitMs)
       return { type: 'unknown' }
     }
-    for (let waited = 0; waited < waitMs && this.ends.length === 0 && !this.isDown; waited += STEP_MS) await this.clock.sleep(STEP_MS)
+    for (let waited = 0; waited < waitMs && this.listedEnds.length === 0 && !this.isDown; waited += STEP_MS) await this.clock.sleep(STEP_MS)
     // The answer of one that has crashed meanwhile never comes.
-    if (this.isDown) return this.callDown<HoldOutcome>('hold', { type: 'unknown' })
+    if (this.isDown) return this.callDown<PollOutcome>('hold', { type: 'unknown' })
     return this.show()
   }
 
   /** Ends what is due; to be called as time passes. */
   tick (): void {
     for (const run of [...this.running.values()]) {
-      if (this.clock.now() > this.until) this.finish(run, RUN_ENDS.lapsed)
+      if (this.clock.now() > this.leaseEndsAt) this.finish(run, RUN_ENDS.lapsed)
       else if (this.isPoisoned(run)) return this.crashByItself()
-      else if (this.clock.now() >= run.endsAt) this.finish(run, this.failing ? RUN_ENDS.failed : RUN_ENDS.done)
+      else if (this.clock.now() >= run.endsAt) this.finish(run, this.isFailing ? RUN_ENDS.failed : RUN_ENDS.done)
     }
   }
 
@@ -119,13 +119,13 @@
   }
 
   /** Everything that is running, as past runs that go on. */
-  get open (): PastRun[] {
+  get openRuns (): RunRecord[] {
     return [...this.running.values()].map(({ submission, index, run, startedAt }) => ({ submission, index, run, from: startedAt, to: Infinity }))
   }
 
-  private show (): HoldOutcome {
+  private show (): PollOutcome {
     this.tick()
-    return { type: 'held', running: [...this.running.values()].map(({ submission, index, run }) => ({ submission, index, run })), ended: [...this.ends] }
+    return { type: 'held', running: [...this.running.values()].map(({ submission, index, run }) => ({ submission, index, run })), ended: [...this.listedEnds] }
   }
 
   private async call<T> (name: 'start' | 'stop' | 'hold', act: () => T, unanswered: T): Promise<T> {
@@ -156,27 +156,27 @@
     this.poison.onCrash()
   }
 
-  private onStart ({ submission, index, run, holdMs }: StartOrder): StartOutcome {
+  private onStart ({ submission, index, run, runLeaseMs: holdMs }: StartOrder): StartOutcome {
     this.tick()
     const name = `${submission}.${index}`
-    if (run <= (this.endedRuns.get(name) ?? 0)) return { type: 'number_used' }
+    if (run <= (this.highestEndedRun.get(name) ?? 0)) return { type: 'number_used' }
     const sentAt = this.clock.now()
     if (sentAt + holdMs < this.clock.now()) return { type: 'refused', reason: REASONS.endpointBusy }
-    this.until = Math.max(this.until, sentAt + holdMs)
+    this.leaseEndsAt = Math.max(this.leaseEndsAt, sentAt + holdMs)
     if (this.running.has(name)) return { type: 'started' }
-    this.running.set(name, { submission, index, run, cpuMilli: this.cpuOfTask(submission), startedAt: sentAt, endsAt: sentAt + this.runMs })
+    this.running.set(name, { submission, index, run, cpuMilli: this.cpuMilliOf(submission), startedAt: sentAt, endsAt: sentAt + this.runMs })
     this.onRun('start', name)
     let cpu = 0
     for (const { cpuMilli } of this.running.values()) cpu += cpuMilli
-    this.mostCpu = Math.max(this.mostCpu, cpu)
-    if (cpu > this.capacityMilli) this.overfilled.push(`${name}#${run} at ${this.clock.now()}: ${cpu} of ${this.capacityMilli}`)
+    this.peakCpuMilli = Math.max(this.peakCpuMilli, cpu)
+    if (cpu > this.announcedCpuMilli) this.startsOverCapacity.push(`${name}#${run} at ${this.clock.now()}: ${cpu} of ${this.announcedCpuMilli}`)
     return { type: 'started' }
   }
 
   private onStop ({ submission, index, run }: RunRef): boolean {
     this.tick()
     const name = `${submission}.${index}`
-    this.endedRuns.set(name, Math.max(run, this.endedRuns.get(name) ?? 0))
+    this.highestEndedRun.set(name, Math.max(run, this.highestEndedRun.get(name) ?? 0))
     const running = this.running.get(name)
     if (running !== undefined && running.run <= run) this.finish(running, RUN_ENDS.stopped)
     return true
@@ -186,22 +186,22 @@
     const { submission, index, run: number, startedAt } = run
     const name = `${submission}.${index}`
     this.running.delete(name)
-    this.endedRuns.set(name, Math.max(number, this.endedRuns.get(name) ?? 0))
-    this.ends.push({ seq: ++this.seq, submission, index, run: number, how })
-    this.past.push({ submission, index, run: number, from: startedAt, to: this.clock.now() })
+    this.highestEndedRun.set(name, Math.max(number, this.highestEndedRun.get(name) ?? 0))
+    this.listedEnds.push({ seq: ++this.seq, submission, index, run: number, how })
+    this.endedRuns.push({ submission, index, run: number, startedAt: startedAt, endedAt: this.clock.now() })
   }
 }
 
 /** Runs of one task that overlap, over all endpoints. */
-export const overlaps = (endpoints: FakeEndpoint[]): string[] => {
-  const byTask = new Map<string, PastRun[]>()
-  for (const run of endpoints.flatMap(({ past, open }) => [...past, ...open])) {
+export const overlappingRuns = (endpoints: FakeEndpoint[]): string[] => {
+  const byTask = new Map<string, RunRecord[]>()
+  for (const run of endpoints.flatMap(({ endedRuns: past, openRuns: open }) => [...past, ...open])) {
     const name = `${run.submission}.${run.index}`
     byTask.set(name, [...byTask.get(name) ?? [], run])
   }
   return [...byTask].flatMap(([name, runs]) => {
-    const sorted = [...runs].sort((a, b) => a.from - b.from)
-    return sorted.slice(1).flatMap((run, at) => run.from < sorted[at]!.to ? [`${name}: ${sorted[at]!.from}-${sorted[at]!.to} and ${run.from}`] : [])
+    const sorted = [...runs].sort((a, b) => a.startedAt - b.startedAt)
+    return sorted.slice(1).flatMap((run, at) => run.startedAt < sorted[at]!.endedAt ? [`${name}: ${sorted[at]!.startedAt}-${sorted[at]!.endedAt} and ${run.startedAt}`] : [])
   })
 }
 
--- a/packages/coordination/tests/leased/leasedNetwork.ts
+++ b/packages/coordination/tests/leased/leasedNetwork.ts
@@ -10,9 +10,9 @@
 import { ProcessClock } from '../processClock.js'
 import type { BootClock } from '../processClock.js'
 import { CAPACITY, FakeEndpoint } from './fakeEndpoint.js'
-import type { DownFate } from './fakeEndpoint.js'
+import type { CrashMode } from './fakeEndpoint.js'
 
-export const TIMES: LeaseTimes = { authorityMs: 600, holdMs: 500, stopMs: 50, clockFactor: 1.02 }
+export const LEASE_TIMES: LeaseTimes = { entryLeaseMs: 600, runLeaseMs: 500, stopMs: 50, clockFactor: 1.02 }
 const KEEP_ALIVE_MS = 150
 const ENTRY_KEEP_ALIVE_MS = 200
 const SESSION_TIMEOUT_MS = 500
@@ -47,7 +47,7 @@
   process: ProcessClock
   host: LeasedHost
   endpoint: FakeEndpoint
-  life: number
+  incarnationNumber: number
   isUp: boolean
 }
 
@@ -60,23 +60,23 @@
   readonly clock: FakeClock = createFakeClock()
   readonly entries: Entry[] = []
   readonly agents: Agent[] = []
-  readonly ends = new Map<string, LeasedJobEnd>()
+  readonly jobEnds = new Map<string, LeasedJobEnd>()
   readonly endpoints: FakeEndpoint[] = []
   /** Documents that entries heard of from agents. */
-  readonly documents: Array<{ entry: number, text: string }> = []
+  readonly configDocuments: Array<{ entry: number, text: string }> = []
   /** What began, and what crashes ended, in order; once tasks can be poisonous. */
   readonly runEvents: Array<{ what: 'start' | 'crash', name: string, at: number }> = []
   /** Told of what entries notice of agents. */
   onAgentChanged: LeasedDispatchEvents['agentChanged'] = () => {}
   /** Frames that entries sent. */
-  entryFrames = 0
+  entryFrameCount = 0
   private readonly pairs: Pair[] = []
-  private counter = 0
+  private incarnationCount = 0
 
   /** Starts that ended, by outcome and reason. */
-  readonly startsEnded = new Map<string, number>()
+  readonly endedStartCounts = new Map<string, number>()
 
-  constructor (entryCount: number, agentCount: number, private readonly times = TIMES, private readonly capacity = CAPACITY, private readonly zoneOf: (agent: number) => string = () => ZONE, private readonly boot: BootClock = 'none') {
+  constructor (entryCount: number, agentCount: number, private readonly times = LEASE_TIMES, private readonly capacity = CAPACITY, private readonly zoneOf: (agent: number) => string = () => ZONE, private readonly bootClock: BootClock = 'none') {
     for (let entry = 0; entry < entryCount; entry++) this.entries.push(this.newEntry(entry))
     for (let agent = 0; agent < agentCount; agent++) {
       this.agents.push(this.newAgent(new FakeEndpoint(this.clock, () => TASK_CPU), agent))
@@ -89,7 +89,7 @@
     for (let passed = 0; passed < ms; passed += STEP_MS) {
       for (const endpoint of this.endpoints) endpoint.tick()
       for (const pair of this.pairs) this.connect(pair)
-      for (const { dispatcher, process, isUp } of this.entries) if (isUp && !process.stands) dispatcher.sweep()
+      for (const { dispatcher, process, isUp } of this.entries) if (isUp && !process.isPaused) dispatcher.sweep()
       this.clock.advance(STEP_MS)
       await settle()
     }
@@ -114,7 +114,7 @@
       deadlineMs: 10_000,
       ...more
     })
-    void attachment.end.then((end) => this.ends.set(id, end))
+    void attachment.end.then((end) => this.jobEnds.set(id, end))
     return attachment
   }
 
@@ -136,24 +136,24 @@
   /** The endpoint of an agent crashes, and its next life is announced at once; it knows nothing of before. */
   restartEndpoint (index: number): void {
     this.agents[index]!.endpoint.crash()
-    this.beginLife(index)
+    this.beginIncarnation(index)
   }
 
   /** The endpoint of an agent crashes, and is back after some time. */
   crashEndpoint (index: number, backMs: number): void {
     this.agents[index]!.endpoint.crash()
-    this.clock.after(backMs, () => this.beginLife(index))
+    this.clock.after(backMs, () => this.beginIncarnation(index))
   }
 
   /** From now on tasks of these submissions crash the endpoints that start them; these are back after some time. */
-  poison (crashAfterMs: (submission: string) => number | undefined, down: DownFate, backMs: number): void {
+  setCrashPlan (crashAfterMs: (submission: string) => number | undefined, down: CrashMode, backMs: number): void {
     for (const [index, { endpoint }] of this.agents.entries()) {
-      endpoint.poison = { crashAfterMs, down, onCrash: () => { this.clock.after(backMs, () => this.beginLife(index)) } }
+      endpoint.poison = { crashAfterMs, down, onCrash: () => { this.clock.after(backMs, () => this.beginIncarnation(index)) } }
       endpoint.onRun = (what, name) => { this.runEvents.push({ what, name, at: this.clock.now() }) }
     }
   }
 
-  private beginLife (index: number): void {
+  private beginIncarnation (index: number): void {
     const agent = this.agents[index]!
     const { runMs, poison, onRun } = agent.endpoint
     agent.endpoint = Object.assign(new FakeEndpoint(this.clock, () => TASK_CPU), { runMs, poison, onRun })
@@ -164,7 +164,7 @@
   /** The endpoint of an agent has another capacity from now on, and its agent hears of it at once. */
   setCapacity (index: number, capacity: Resources): void {
     const { host, endpoint } = this.agents[index]!
-    endpoint.capacityMilli = capacity.cpuMilli
+    endpoint.announcedCpuMilli = capacity.cpuMilli
     host.setCapacity(capacity)
   }
 
@@ -182,27 +182,27 @@
   }
 
   private newEntry (index: number): Entry {
-    const process = this.entries[index]?.process ?? new ProcessClock(this.clock, this.boot)
+    const process = this.entries[index]?.process ?? new ProcessClock(this.clock, this.bootClock)
     const dispatcher = new LeasedDispatcher({
       clock: process,
       random: seededRandom(index),
       zone: ZONE,
       times: this.times,
-      events: { ...EVENTS, agentChanged: (agent, change) => this.onAgentChanged(agent, change), configSeen: (_version, document) => this.documents.push({ entry: index, text: Buffer.from(document).toString() }) },
-      setAsideShare: 0.4,
-      setAsideBackoff: () => 1000,
+      events: { ...EVENTS, agentChanged: (agent, change) => this.onAgentChanged(agent, change), configSeen: (_version, document) => this.configDocuments.push({ entry: index, text: Buffer.from(document).toString() }) },
+      maxEjectedShare: 0.4,
+      ejectionBackoff: () => 1000,
       defer: (fn) => { setImmediate(() => process.run(fn)) }
     })
-    return { incarnation: `e${index}-${this.counter++}`, process, dispatcher, jobs: new LeasedJobs(process, dispatcher), isUp: true }
+    return { incarnation: `e${index}-${this.incarnationCount++}`, process, dispatcher, jobs: new LeasedJobs(process, dispatcher), isUp: true }
   }
 
   private newAgent (endpoint: FakeEndpoint, index: number): Agent {
     if (!this.endpoints.includes(endpoint)) this.endpoints.push(endpoint)
-    const process = this.agents[index]?.process ?? new ProcessClock(this.clock, this.boot)
+    const process = this.agents[index]?.process ?? new ProcessClock(this.clock, this.bootClock)
     const host = new LeasedHost({
-      clock: process, zone: this.zoneOf(index), times: this.times, holdWaitMs: 100, log: () => {}, observe: (result) => this.count(result)
+      clock: process, zone: this.zoneOf(index), times: this.times, pollWaitMs: 100, log: () => {}, observe: (result) => this.count(result)
     })
-    const life = this.counter++
+    const life = this.incarnationCount++
     const agent = { incarnation: `a${life}`, process, host, endpoint, life, isUp: true }
     this.announce(agent)
     return agent
@@ -214,19 +214,19 @@
       service: 's',
       incarnation: `i${this.endpoints.indexOf(endpoint)}`,
       address: '',
-      capacity: Number.isFinite(endpoint.capacityMilli) ? { ...this.capacity, cpuMilli: endpoint.capacityMilli } : this.capacity,
+      capacity: Number.isFinite(endpoint.announcedCpuMilli) ? { ...this.capacity, cpuMilli: endpoint.announcedCpuMilli } : this.capacity,
       // A process that died orders nothing any more.
       endpoint: {
-        start: (order) => agent.isUp ? process.arrived(endpoint.start(order)) : new Promise(() => {}),
-        stop: (run) => agent.isUp ? process.arrived(endpoint.stop(run)) : new Promise(() => {}),
-        hold: (order) => agent.isUp ? process.arrived(endpoint.hold(order)) : new Promise(() => {})
+        start: (order) => agent.isUp ? process.receive(endpoint.start(order)) : new Promise(() => {}),
+        stop: (run) => agent.isUp ? process.receive(endpoint.stop(run)) : new Promise(() => {}),
+        poll: (order) => agent.isUp ? process.receive(endpoint.poll(order)) : new Promise(() => {})
       }
     })
   }
 
   private count ({ outcome, reason }: TaskResult): void {
     const name = reason || outcome
-    this.startsEnded.set(name, (this.startsEnded.get(name) ?? 0) + 1)
+    this.endedStartCounts.set(name, (this.endedStartCounts.get(name) ?? 0) + 1)
   }
 
   private drop (pair: Pair): void {
@@ -238,7 +238,7 @@
     if (pair.close !== undefined || pair.isCut) return
     const agent = this.agents[pair.agent]!
     const entry = this.entries[pair.entry]!
-    if (!agent.isUp || agent.process.stands || entry.process.stands) return
+    if (!agent.isUp || agent.process.isPaused || entry.process.isPaused) return
     const isOpen = { agent: true, entry: true }
     let acked = 0n
     const agentNow = (): number => agent.process.now()
@@ -254,7 +254,7 @@
       if (!isOpen.agent) return
       const frame = create(AgentFrameSchema)
       change(frame)
-      agent.host.stamp(entry.incarnation, frame)
+      agent.host.fillFrame(entry.incarnation, frame)
       deliver(entry.process, () => {
         if (!isOpen.entry || !entry.isUp) return
         lastSeen.entry = entryNow()
@@ -267,8 +267,8 @@
       change(frame)
       frame.ackedSeq = acked
       sentToAgentAt = entryNow()
-      this.entryFrames++
-      entry.dispatcher.sessions.stamp(handle, frame)
+      this.entryFrameCount++
+      entry.dispatcher.sessions.fillFrame(handle, frame)
       deliver(agent.process, () => {
         if (!isOpen.agent || !agent.isUp) return
         lastSeen.agent = agentNow()
@@ -299,8 +299,8 @@
     const keepAlive = (): void => {
       if (!isOpen.agent && !isOpen.entry) return redial()
       if (!pair.isCut) for (const fn of held.splice(0)) fn()
-      const isAgentAwake = !agent.process.stands
-      const isEntryAwake = !entry.process.stands
+      const isAgentAwake = !agent.process.isPaused
+      const isEntryAwake = !entry.process.isPaused
       if (isAgentAwake && agentNow() - lastSeen.agent > SESSION_TIMEOUT_MS) closeAgent()
       if (isEntryAwake && entryNow() - lastSeen.entry > SESSION_TIMEOUT_MS) closeEntry()
       if (!isOpen.agent && !pair.isCut && isEntryAwake) closeEntry()
--- a/packages/coordination/tests/leased/replayQueues.ts
+++ b/packages/coordination/tests/leased/simulateQueueBurst.ts
@@ -1,15 +1,15 @@
 import { seededRandom } from '@hazellift/common'
 import type { Random } from '@hazellift/common'
-import { POLICY, workLeft } from '@hazellift/decisions'
-import type { LoadView, Shares } from '@hazellift/decisions'
+import { POLICY, queuedWork } from '@hazellift/decisions'
+import type { LoadView, ComputeShares } from '@hazellift/decisions'
 import { createLeasedJob } from '../../src/index.js'
 import type { LeasedJob } from '../../src/index.js'
-import { findHopeless } from '../../src/leased/leasedAdmission.js'
+import { findJobsToShed } from '../../src/leased/leasedAdmission.js'
 import { LeasedQueue } from '../../src/leased/leasedQueue.js'
 import { LoadRecord } from '../../src/leased/loadRecord.js'
 
 /** A queue of the replay; work in ms of one slot. */
-interface Kind {
+interface QueueWorkload {
   priority: number
   tasks: number
   runMs: number
@@ -17,7 +17,7 @@
 }
 
 /** Short jobs go first, long ones last; without a burst they ask for three quarters of the slots. */
-const KINDS: Kind[] = [
+const KINDS: QueueWorkload[] = [
   { priority: 0, tasks: 8, runMs: 86, perSecond: 72 },
   { priority: 1, tasks: 2, runMs: 286, perSecond: 212 },
   { priority: 2, tasks: 4, runMs: 1286, perSecond: 13.2 }
@@ -31,15 +31,15 @@
 
 /** What came of one queue during the burst. */
 export interface QueueOutcome {
-  asked: number
+  arrived: number
   inTime: number
 }
 
 /** What the replay shows. */
-export interface Replay {
+export interface BurstResult {
   queues: Map<number, QueueOutcome>
   /** Moments at which slots were free while a job waited after all had looked. */
-  idle: number
+  idleSweeps: number
 }
 
 interface Entry {
@@ -49,22 +49,22 @@
 }
 
 /** Entries that share slots and hear nothing of each other, without a network. */
-class QueueReplay {
+class BurstSimulation {
   private now = 0
   private free = SLOTS
   private readonly random: Random
   private readonly entries: Entry[]
   private readonly ends: Array<{ at: number, job: LeasedJob }> = []
-  private readonly result: Replay = { queues: new Map(KINDS.map(({ priority }) => [priority, { asked: 0, inTime: 0 }])), idle: 0 }
+  private readonly result: BurstResult = { queues: new Map(KINDS.map(({ priority }) => [priority, { asked: 0, inTime: 0 }])), idleSweeps: 0 }
   private jobs = 0
   private serves = 0
 
-  constructor (entries: number, private readonly shares: Shares, seed: number) {
+  constructor (entries: number, private readonly shares: ComputeShares, seed: number) {
     this.random = seededRandom(seed)
     this.entries = Array.from({ length: entries }, () => ({ queue: new LeasedQueue(POLICY.order), load: new LoadRecord(() => this.now), servedAt: 0 }))
   }
 
-  play (): Replay {
+  play (): BurstResult {
     for (; this.now < LENGTH_MS; this.now += STEP_MS) {
       this.endRuns()
       for (const kind of KINDS) this.arrive(kind)
@@ -83,12 +83,12 @@
     return { servedMilli, queues: this.shares(servedMilli, load.queues) }
   }
 
-  private arrive (kind: Kind): void {
+  private arrive (kind: QueueWorkload): void {
     const rate = kind.perSecond * (this.isBurst && kind.priority === BURST.priority ? BURST.x : 1)
     if (this.random() < rate * STEP_MS / 1000) this.submit(kind, this.entries[Math.floor(this.random() * this.entries.length)]!)
   }
 
-  private submit ({ priority, tasks, runMs }: Kind, entry: Entry): void {
+  private submit ({ priority, tasks, runMs }: QueueWorkload, entry: Entry): void {
     const job = createLeasedJob({
       workspace: 'w',
       id: `j${this.jobs++}`,
@@ -104,11 +104,11 @@
       objective: { stretch: 1.6, slackMs: 60, lateFactor: 3 },
       deadlineMs: 4 * (1.6 * runMs + 60)
     }, this.now, runMs, () => {})
-    if (this.isBurst) this.result.queues.get(priority)!.asked++
-    entry.load.onAsked(priority, workLeft(job))
+    if (this.isBurst) this.result.queues.get(priority)!.arrived++
+    entry.load.onArrived(priority, queuedWork(job))
     const view = { capacityMilli: SLOTS * SLOT.cpuMilli, load: this.viewOf(entry), waiting: entry.queue, waitingCount: entry.queue.size }
-    if (POLICY.admit(job, view).type !== 'taken') return entry.load.onRefused(priority, workLeft(job))
-    entry.load.onTaken(priority, workLeft(job))
+    if (POLICY.admit(job, view).type !== 'taken') return entry.load.onRefused(priority, queuedWork(job))
+    entry.load.onAdmitted(priority, queuedWork(job))
     entry.queue.add(job)
   }
 
@@ -116,7 +116,7 @@
   private startAll (): void {
     while (this.free > 0) {
       const wanting = this.entries.filter(({ queue }) => queue.size > 0)
-        .map((entry) => ({ entry, priority: entry.queue.wantingPriority(this.now, this.viewOf(entry))! }))
+        .map((entry) => ({ entry, priority: entry.queue.demandPriority(this.now, this.viewOf(entry))! }))
         .sort((a, b) => a.priority - b.priority || a.entry.servedAt - b.entry.servedAt)
       if (wanting.length === 0) return
       this.start(wanting[0]!.entry)
@@ -149,14 +149,14 @@
   private sweep (): void {
     for (const entry of this.entries) {
       const { queue, load } = entry
-      load.onLook(queue.size > 0)
+      load.recordWaiting(queue.size > 0)
       const view = this.viewOf(entry)
-      for (const { job } of findHopeless(queue.inOrder(this.now, view), this.now, view, POLICY)) {
-        load.onRefused(job.priority, workLeft(job))
+      for (const { job } of findJobsToShed(queue.inOrder(this.now, view), this.now, view, POLICY)) {
+        load.onRefused(job.priority, queuedWork(job))
         queue.remove(job)
       }
     }
-    if (this.free > 0 && this.entries.some(({ queue }) => queue.size > 0)) this.result.idle++
+    if (this.free > 0 && this.entries.some(({ queue }) => queue.size > 0)) this.result.idleSweeps++
   }
 }
 
@@ -167,4 +167,4 @@
  * @param shares - decides what is kept for each queue
  * @param seed - of arrivals
  */
-export const replayQueues = (entries: number, shares: Shares, seed: number): Replay => new QueueReplay(entries, shares, seed).play()
+export const simulateQueueBurst = (entries: number, shares: ComputeShares, seed: number): BurstResult => new BurstSimulation(entries, shares, seed).play()
