--- a/packages/coordination/tests/leased/suspension.test.ts
+++ b/packages/coordination/tests/leased/suspension.test.ts
@@ -2,7 +2,7 @@
 import fc from 'fast-check'
 import { describe, expect, it } from 'vitest'
 import type { BootClock, ProcessClock } from '../processClock.js'
-import { CAPACITY, overlaps } from './fakeEndpoint.js'
+import { CAPACITY, overlappingRuns } from './fakeEndpoint.js'
 import { LeasedNetwork } from './leasedNetwork.js'
 
 const RESEND_MS = 1300
@@ -54,7 +54,7 @@
       name: 'its agent is suspended, and the time of day is set back by less',
       act: (agent) => {
         agent.suspend(450)
-        agent.stepDay(-400)
+        agent.stepWallClock(-400)
       }
     },
     {
@@ -62,7 +62,7 @@
       bootClocks: ['true'],
       act: (agent) => {
         agent.suspend(450)
-        agent.stepDay(-5000)
+        agent.stepWallClock(-5000)
       }
     }
   ]
@@ -79,8 +79,8 @@
     await network.advance(RESEND_MS - (network.clock.now() - from))
     submit(network, 1)
     await network.advance(8000)
-    expect(network.ends.get('j')).toEqual({ type: 'complete' })
-    expect(overlaps(network.endpoints)).toEqual([])
+    expect(network.jobEnds.get('j')).toEqual({ type: 'complete' })
+    expect(overlappingRuns(network.endpoints)).toEqual([])
   })
 
   const meanwhiles: Standstill[] = [
@@ -96,7 +96,7 @@
       name: 'its agent is suspended, and the time of day is set back by less',
       act: (agent) => {
         agent.suspend(2500)
-        agent.stepDay(-2400)
+        agent.stepWallClock(-2400)
       }
     },
     {
@@ -104,7 +104,7 @@
       bootClocks: ['true'],
       act: (agent) => {
         agent.suspend(2500)
-        agent.stepDay(-5000)
+        agent.stepWallClock(-5000)
       }
     }
   ]
@@ -118,8 +118,8 @@
     await network.advance(RESEND_MS)
     submit(network, 1)
     await network.advance(8000)
-    expect(network.ends.get('j')).toEqual({ type: 'complete' })
-    expect(overlaps(network.endpoints)).toEqual([])
+    expect(network.jobEnds.get('j')).toEqual({ type: 'complete' })
+    expect(overlappingRuns(network.endpoints)).toEqual([])
   })
 
   const cutOffs: Standstill[] = [
@@ -172,8 +172,8 @@
     await network.advance(Math.max(0, RESEND_MS - (network.clock.now() - from)))
     submit(network, 1)
     await network.advance(8000)
-    expect(network.ends.get('j')).toEqual({ type: 'complete' })
-    expect(overlaps(network.endpoints)).toEqual([])
+    expect(network.jobEnds.get('j')).toEqual({ type: 'complete' })
+    expect(overlappingRuns(network.endpoints)).toEqual([])
   })
 
   const entriesAlone = [{ ms: 300 }, { ms: 1000 }, { ms: 5000 }]
@@ -183,8 +183,8 @@
     await network.advance(200)
     network.entries[0]!.process.suspend(ms)
     await network.advance(ms + 9000)
-    expect(network.ends.get('j')).toEqual({ type: 'complete' })
-    expect(overlaps(network.endpoints)).toEqual([])
+    expect(network.jobEnds.get('j')).toEqual({ type: 'complete' })
+    expect(overlappingRuns(network.endpoints)).toEqual([])
   })
 
   it('what ran under authority that may be over is not held on, and is stopped unless the entry answers anew', async () => {
@@ -194,7 +194,7 @@
     network.agents[0]!.process.suspend(100)
     network.cut(0, 0, true)
     await network.advance(600)
-    expect(network.endpoints[0]!.open).toEqual([])
+    expect(network.endpoints[0]!.openRuns).toEqual([])
   })
 
   const steps: Array<{ name: string, who: 'agents' | 'entries', stepsMs: number[] }> = [
@@ -210,32 +210,32 @@
     network.submit(0, 'j', 2, { estimateMs: RUN_MS })
     await network.advance(200)
     for (const ms of stepsMs) {
-      network[who][0]!.process.stepDay(ms)
+      network[who][0]!.process.stepWallClock(ms)
       await network.advance(350)
     }
     await network.advance(RUN_MS)
-    expect(network.ends.get('j')).toEqual({ type: 'complete' })
-    expect(network.endpoints[0]!.past).toHaveLength(2)
+    expect(network.jobEnds.get('j')).toEqual({ type: 'complete' })
+    expect(network.endpoints[0]!.endedRuns).toHaveLength(2)
   })
 
   it.each([{ who: 'agents' as const }, { who: 'entries' as const }])('after the time of day was set ahead at $who, a job waits for a moment only', async ({ who }) => {
     const network = await started(1, 1, 100)
-    network[who][0]!.process.stepDay(60_000)
+    network[who][0]!.process.stepWallClock(60_000)
     network.submit(0, 'j', 2)
     await network.advance(500)
-    expect(network.ends.get('j')).toEqual({ type: 'complete' })
+    expect(network.jobEnds.get('j')).toEqual({ type: 'complete' })
   })
 
   it('a clock that drifts, step by step, is no suspension', async () => {
     const network = await started(1, 1)
     network.submit(0, 'j', 2, { estimateMs: RUN_MS })
     for (let passed = 0; passed < RUN_MS; passed += 20) {
-      network.agents[0]!.process.stepDay(3)
+      network.agents[0]!.process.stepWallClock(3)
       await network.advance(20)
     }
     await network.advance(100)
-    expect(network.startsEnded.get('done')).toBe(2)
-    expect(network.startsEnded.get(REASONS.leaseExpired)).toBeUndefined()
+    expect(network.endedStartCounts.get('done')).toBe(2)
+    expect(network.endedStartCounts.get(REASONS.leaseExpired)).toBeUndefined()
   })
 
   it('any series of suspensions, freezes, steps of the time of day and other faults: no two runs of a task overlap', async () => {
@@ -258,7 +258,7 @@
       let jobs = 0
       const breakOff = (isHeard: boolean): void => {
         for (const [id, { count, leave }] of open) {
-          if (network.ends.has(id)) continue
+          if (network.jobEnds.has(id)) continue
           if (isHeard) network.entries[0]!.process.run(leave)
           resend.push({ at: network.clock.now() + RESEND_MS, id, count })
         }
@@ -272,16 +272,16 @@
       }
       for (const act of actions) {
         const process = 'who' in act ? (act.who.isEntry ? network.entries : network.agents)[act.who.index]!.process : undefined
-        if (act.type === 'submit' && !network.entries[0]!.process.stands) {
+        if (act.type === 'submit' && !network.entries[0]!.process.isPaused) {
           const id = `j${jobs++}`
           open.set(id, { count: act.count, ...network.submit(0, id, act.count) })
         }
         if (act.type === 'break') breakOff(true)
         if (act.type === 'suspend') process!.suspend(act.ms)
         if (act.type === 'freeze') process!.freeze(act.ms)
-        if (act.type === 'step') process!.stepDay(act.ms)
+        if (act.type === 'step') process!.stepWallClock(act.ms)
         if (act.type === 'cut' || act.type === 'heal') network.cut(act.who.index, act.who.isEntry ? 1 : 0, act.type === 'cut')
-        if (act.type === 'kill_entry' && !network.entries[0]!.process.stands) {
+        if (act.type === 'kill_entry' && !network.entries[0]!.process.isPaused) {
           breakOff(false)
           network.killEntry(0)
         }
@@ -291,8 +291,8 @@
           resendDue()
         }
       }
-      expect(overlaps(network.endpoints)).toEqual([])
-      for (const endpoint of network.endpoints) expect(endpoint.mostCpu).toBeLessThanOrEqual(CAPACITY.cpuMilli)
+      expect(overlappingRuns(network.endpoints)).toEqual([])
+      for (const endpoint of network.endpoints) expect(endpoint.peakCpuMilli).toBeLessThanOrEqual(CAPACITY.cpuMilli)
     }), { numRuns: 300, seed: 20261203 })
   })
 })
--- a/packages/coordination/tests/leased/doubt.test.ts
+++ b/packages/coordination/tests/leased/unverifiedLeases.test.ts
@@ -4,13 +4,13 @@
 import type { AgentFrame, EntryFrame } from '@hazellift/protocol'
 import { describe, expect, it } from 'vitest'
 import { LeasedHost, RUN_ENDS } from '../../src/index.js'
-import type { HoldOrder, HoldOutcome, StartOrder, StartOutcome } from '../../src/index.js'
+import type { PollRequest, PollOutcome, StartOrder, StartOutcome } from '../../src/index.js'
 import { LeasedFleet } from '../../src/leased/leasedFleet.js'
 import { LeasedSessions } from '../../src/leased/leasedSessions.js'
 import { createFakeClock } from '../fakeClock.js'
 import { ProcessClock } from '../processClock.js'
 import { CAPACITY } from './fakeEndpoint.js'
-import { TIMES } from './leasedNetwork.js'
+import { LEASE_TIMES } from './leasedNetwork.js'
 
 const settle = async (): Promise<void> => { for (let i = 0; i < 4; i++) await new Promise((resolve) => setImmediate(resolve)) }
 
@@ -22,15 +22,15 @@
 /** An agent's host whose endpoint answers when a test says so. */
 class HostFixture {
   readonly starts: Array<Pending<StartOrder, StartOutcome>> = []
-  readonly holds: Array<Pending<HoldOrder, HoldOutcome>> = []
+  readonly holds: Array<Pending<PollRequest, PollOutcome>> = []
   readonly told: string[] = []
   private readonly world = createFakeClock()
   private readonly process = new ProcessClock(this.world)
   private readonly host = new LeasedHost({
     clock: this.process,
     zone: 'z',
-    times: TIMES,
-    holdWaitMs: 100,
+    times: LEASE_TIMES,
+    pollWaitMs: 100,
     log: () => {},
     observe: ({ key, reason, outcome }) => this.told.push(`${key!.submission} ${reason || outcome}`)
   })
@@ -47,14 +47,14 @@
       endpoint: {
         start: (order) => new Promise((resolve) => { this.starts.push({ order, answer: resolve }) }),
         stop: () => new Promise(() => {}),
-        hold: (order) => new Promise((resolve) => { this.holds.push({ order, answer: resolve }) })
+        poll: (order) => new Promise((resolve) => { this.holds.push({ order, answer: resolve }) })
       }
     })
     await this.answerHold({ type: 'held', running: [], ended: [] })
     for (const entry of entries) this.host.openSession(entry, this.add)
   }
 
-  async answerHold (outcome: HoldOutcome): Promise<void> {
+  async answerHold (outcome: PollOutcome): Promise<void> {
     this.holds.shift()!.answer(outcome)
     await settle()
   }
@@ -129,16 +129,16 @@
     fixture.pass(10)
     fixture.suspend(300)
     const run = { submission: 'first', index: 0, run: fixture.starts[0]!.order.run }
-    const next = async (): Promise<HoldOrder> => {
+    const next = async (): Promise<PollRequest> => {
       await fixture.answerHold({ type: 'held', running: [run], ended: [] })
       fixture.pass(5)
       await settle()
       return fixture.holds[0]!.order
     }
-    expect(await next()).toMatchObject({ holdMs: undefined, waitMs: 25 })
+    expect(await next()).toMatchObject({ runLeaseMs: undefined, waitMs: 25 })
     fixture.pass(1)
     await fixture.frame('e')
-    expect(await next()).toMatchObject({ holdMs: TIMES.holdMs, waitMs: 100 })
+    expect(await next()).toMatchObject({ runLeaseMs: LEASE_TIMES.runLeaseMs, waitMs: 100 })
   })
 })
 
@@ -154,11 +154,11 @@
 
   constructor () {
     this.process = new ProcessClock(this.world)
-    const fleet = new LeasedFleet({ clock: this.process, random: seededRandom(1), zone: 'z', setAsideShare: 0.4, setAsideBackoff: () => 1000 })
+    const fleet = new LeasedFleet({ clock: this.process, random: seededRandom(1), zone: 'z', maxEjectedShare: 0.4, ejectionBackoff: () => 1000 })
     this.sessions = new LeasedSessions({
       clock: this.process,
       watch: new SuspensionWatch(this.process),
-      times: TIMES,
+      times: LEASE_TIMES,
       fleet,
       events: { agentChanged: () => {}, agentLost: () => {}, configSeen: () => {}, evacuationsChanged: () => {} },
       onResult: () => {},
@@ -169,7 +169,7 @@
     this.world.advance(1000)
     this.agent = this.sessions.open(create(HelloSchema, { agentId: 'a', incarnation: 'i', zone: 'z' }), this.link)
     this.hear()
-    this.agent.sent.set('task', { job: undefined as never, index: 0, attempt: 0, sentAt: 1000, life: '' })
+    this.agent.sent.set('task', { job: undefined as never, index: 0, attempt: 0, sentAt: 1000, endpointIncarnation: '' })
   }
 
   hear (): void {
@@ -179,7 +179,7 @@
   /** What a frame that leaves now echoes. */
   get echo (): number {
     const frame: EntryFrame = create(EntryFrameSchema)
-    this.sessions.stamp(this.agent, frame)
+    this.sessions.fillFrame(this.agent, frame)
     return frame.echoStampMs
   }
 
--- a/packages/decisions/src/admit.test.ts
+++ b/packages/decisions/src/admit.test.ts
@@ -6,7 +6,7 @@
 const VIEW: AdmitView = { capacityMilli: 10_000, load: { servedMilli: 5000, queues: [] }, waiting: [], waitingCount: 0 }
 /** Work of 200 ms for half of the endpoints. */
 const AHEAD = Array.from({ length: 10 }, () => jobView())
-const MORE_URGENT = { priority: -1, askedMilli: 2500, takenMilli: 2500, startedMilli: 0, refusedMilli: 0, floorMilli: 0 }
+const MORE_URGENT = { priority: -1, arrivedMilli: 2500, admittedMilli: 2500, startedMilli: 0, refusedMilli: 0, floorMilli: 0 }
 
 describe('whether a job is taken on', () => {
   const cases: Array<{ name: string, view: Partial<AdmitView>, priority?: number, giveUpAt?: number, expected: Admission }> = [
@@ -20,6 +20,6 @@
     { name: 'a more urgent job does not wait for these', view: { waiting: AHEAD.map((job) => ({ ...job, priority: 1 })) }, giveUpAt: 1, expected: { type: 'taken' } }
   ]
   it.each(cases)('$name', ({ view, priority = 0, giveUpAt = 200, expected }) => {
-    expect(admit(jobView({ priority, giveUpAt }), { ...VIEW, ...view })).toEqual(expected)
+    expect(admit(jobView({ priority, shedAt: giveUpAt }), { ...VIEW, ...view })).toEqual(expected)
   })
 })
--- a/packages/decisions/src/admit.ts
+++ b/packages/decisions/src/admit.ts
@@ -47,5 +47,5 @@
   if (capacityMilli === 0) return { type: 'no_capacity' }
   if (waitingCount >= MAX_WAITING_JOBS) return { type: 'too_many' }
   const waitMs = forecastWait(workAhead(waiting, job.priority), job.priority, load)
-  return job.arrivedAt + waitMs <= job.giveUpAt ? { type: 'taken' } : { type: 'too_late', waitMs }
+  return job.arrivedAt + waitMs <= job.shedAt ? { type: 'taken' } : { type: 'too_late', waitMs }
 }
--- a/packages/decisions/src/decisions.test.ts
+++ b/packages/decisions/src/decisions.test.ts
@@ -1,7 +1,7 @@
 import { describe, expect, it } from 'vitest'
 import { jobView } from '../tests/views.js'
-import { giveUp, giveUpAt, isScarce, move, offer, setAside } from './index.js'
-import type { EndpointRecordView, RunView, Turn, WantingEntry } from './index.js'
+import { shed, shedAt, isScarce, moveRun, offerCapacity, eject } from './index.js'
+import type { EndpointRecordView, RunView, CurrentOffer, EntryDemand } from './index.js'
 
 describe('when a job is given up', () => {
   const times = [
@@ -9,7 +9,7 @@
     { name: 'sooner if its caller does not wait that long', deadlineMs: 300, expected: 135 }
   ]
   it.each(times)('$name', ({ deadlineMs, expected }) => {
-    expect(giveUpAt({ arrivedAt: 0, objectiveMs: 200, expectedMs: 100, deadlineMs })).toBe(expected)
+    expect(shedAt({ arrivedAt: 0, objectiveMs: 200, expectedMs: 100, deadlineMs })).toBe(expected)
   })
 
   const cases = [
@@ -19,13 +19,13 @@
     { name: 'not once a task has begun', now: 201, mayHaveRun: 1, waitMs: 0, expected: false }
   ]
   it.each(cases)('$name', ({ now, mayHaveRun, waitMs, expected }) => {
-    expect(giveUp(jobView({ mayHaveRun }), now, waitMs)).toBe(expected)
+    expect(shed(jobView({ mayHaveRun }), now, waitMs)).toBe(expected)
   })
 })
 
 describe('who hears of scarce room', () => {
-  const entry = (incarnation: string, priority: number, servedAt: number): WantingEntry => ({ incarnation, priority, servedAt })
-  const cases: Array<{ name: string, wanting: WantingEntry[], turn?: Turn, expected: string | undefined }> = [
+  const entry = (incarnation: string, priority: number, servedAt: number): EntryDemand => ({ incarnation, priority, servedAt })
+  const cases: Array<{ name: string, wanting: EntryDemand[], turn?: CurrentOffer, expected: string | undefined }> = [
     { name: 'nobody if none wants it', wanting: [], expected: undefined },
     { name: 'the one with the most urgent task', wanting: [entry('a', 1, 0), entry('b', 0, 9)], expected: 'b' },
     { name: 'of equals the one that was served longest ago', wanting: [entry('a', 0, 2), entry('b', 0, 1)], expected: 'b' },
@@ -33,7 +33,7 @@
     { name: 'the next one after that moment', wanting: [entry('a', 1, 2), entry('b', 0, 1)], turn: { holder: 'a', offeredAt: 80 }, expected: 'b' }
   ]
   it.each(cases)('$name', ({ wanting, turn = { holder: undefined, offeredAt: -Infinity }, expected }) => {
-    expect(offer(wanting, turn, 100)).toBe(expected)
+    expect(offerCapacity(wanting, turn, 100)).toBe(expected)
   })
 
   const scarcity = [{ free: 2400, expected: true }, { free: 2500, expected: false }]
@@ -43,16 +43,16 @@
 })
 
 describe('which runs are moved', () => {
-  const run: RunView = { ranMs: 0, expectedMs: 200, longestRunMs: 0, usualMs: 100, slowness: 1 }
+  const run: RunView = { elapsedMs: 0, expectedMs: 200, longestRunMs: 0, usualMs: 100, slowness: 1 }
   const cases: Array<{ name: string, more: Partial<RunView>, expected: boolean }> = [
-    { name: 'not one of twice its time at a sound endpoint', more: { ranMs: 500 }, expected: false },
-    { name: 'one of four times its time anywhere', more: { ranMs: 800 }, expected: true },
-    { name: 'one of twice its time at a slow endpoint', more: { ranMs: 400, slowness: 1.5 }, expected: true },
-    { name: 'not one as long as another task of its job was', more: { ranMs: 800, longestRunMs: 300 }, expected: false },
-    { name: 'not one that is longer by a little only', more: { ranMs: 120, expectedMs: 20, usualMs: 20 }, expected: false }
+    { name: 'not one of twice its time at a sound endpoint', more: { elapsedMs: 500 }, expected: false },
+    { name: 'one of four times its time anywhere', more: { elapsedMs: 800 }, expected: true },
+    { name: 'one of twice its time at a slow endpoint', more: { elapsedMs: 400, slowness: 1.5 }, expected: true },
+    { name: 'not one as long as another task of its job was', more: { elapsedMs: 800, longestRunMs: 300 }, expected: false },
+    { name: 'not one that is longer by a little only', more: { elapsedMs: 120, expectedMs: 20, usualMs: 20 }, expected: false }
   ]
   it.each(cases)('$name', ({ more, expected }) => {
-    expect(move({ ...run, ...more })).toBe(expected)
+    expect(moveRun({ ...run, ...more })).toBe(expected)
   })
 })
 
@@ -66,6 +66,6 @@
     { name: 'not the last one that gets work', of: record(1), peers: [record(1, 9, false)], expected: false }
   ]
   it.each(cases)('$name', ({ of, peers, expected }) => {
-    expect(setAside(of, peers)).toBe(expected)
+    expect(eject(of, peers)).toBe(expected)
   })
 })
--- a/packages/decisions/src/setAside.ts
+++ b/packages/decisions/src/eject.ts
@@ -18,12 +18,12 @@
 /** Fewer ends than this say nothing. */
 const MIN_SAMPLES = 3
 /** Less than this share of failed starts is borne: retries cost less than the endpoint's room. */
-const BAD_SHARE = 0.45
+const MIN_FAILURE_SHARE = 0.45
 /** How many times the failures of its peers an endpoint must show. */
 const PEER_FACTOR = 2
 
 /** True if the endpoint fails far more than its peers. */
-export type SetAside = (record: EndpointRecordView, peers: readonly EndpointRecordView[]) => boolean
+export type Eject = (record: EndpointRecordView, peers: readonly EndpointRecordView[]) => boolean
 
 /**
  * Compares with the peers that get work as usual; without any there is nothing to compare with.
@@ -31,8 +31,8 @@
  * @param record - of the endpoint that has just failed a start
  * @param peers - of the other endpoints of its service
  */
-export const setAside: SetAside = ({ failureShare, samples }, peers) => {
-  if (samples < MIN_SAMPLES || failureShare < BAD_SHARE) return false
+export const eject: Eject = ({ failureShare, samples }, peers) => {
+  if (samples < MIN_SAMPLES || failureShare < MIN_FAILURE_SHARE) return false
   const healthy = peers.filter(({ isHealthy }) => isHealthy)
   if (healthy.length === 0) return false
   const peerShare = healthy.reduce((sum, peer) => sum + peer.failureShare, 0) / healthy.length
--- a/packages/decisions/src/forecast.ts
+++ b/packages/decisions/src/forecast.ts
@@ -19,7 +19,7 @@
 }
 
 /** Nothing is known of any load. */
-export const NO_LOAD: LoadView = { servedMilli: Infinity, queues: [] }
+export const UNKNOWN_LOAD: LoadView = { servedMilli: Infinity, queues: [] }
 
 /** What goes before a job, in milli-cores times ms. */
 export interface WorkAhead {
@@ -34,7 +34,7 @@
   let [all, own] = [0, 0]
   for (const job of waiting) {
     if (job.priority > priority) continue
-    const work = workLeft(job)
+    const work = queuedWork(job)
     all += work
     if (job.priority === priority) own += work
   }
@@ -46,15 +46,15 @@
  * arrives: a burst may end, and with much less the least urgent jobs would be
  * turned away too often.
  */
-const MIN_LEFT_SHARE = 0.35
+const MIN_REMAINING_SHARE = 0.35
 
 /** Work of the tasks that wait, in milli-cores times ms. */
-export const workLeft = ({ queue, need, expectedMs }: Pick<JobView, 'queue' | 'need' | 'expectedMs'>): number =>
+export const queuedWork = ({ queue, need, expectedMs }: Pick<JobView, 'queue' | 'need' | 'expectedMs'>): number =>
   queue.length * need.cpuMilli * expectedMs
 
 /** What more urgent arrivals leave to a priority. */
-const leftMilli = (servedMilli: number, priority: number, queues: readonly QueueShare[]): number =>
-  queues.reduce((left, queue) => queue.priority < priority ? left - queue.takenMilli : left, servedMilli)
+const remainingMilli = (servedMilli: number, priority: number, queues: readonly QueueShare[]): number =>
+  queues.reduce((remaining, queue) => queue.priority < priority ? remaining - queue.admittedMilli : remaining, servedMilli)
 
 /**
  * Time until a job's first task can start: all that goes before it is served by
@@ -68,7 +68,7 @@
  */
 export const forecastWait = (ahead: WorkAhead, priority: number, { servedMilli, queues }: LoadView): number => {
   if (ahead.all === 0) return 0
-  const byPriorityMs = ahead.all / Math.max(servedMilli * MIN_LEFT_SHARE, leftMilli(servedMilli, priority, queues))
+  const byPriorityMs = ahead.all / Math.max(servedMilli * MIN_REMAINING_SHARE, remainingMilli(servedMilli, priority, queues))
   const share = queues.find((queue) => queue.priority === priority)
   return share !== undefined && isBelowFloor(share) ? Math.min(byPriorityMs, ahead.own / share.floorMilli) : byPriorityMs
 }
--- a/packages/decisions/src/handOn.ts
+++ b/packages/decisions/src/handOn.ts
@@ -12,7 +12,7 @@
  */
 
 /** What an entry observes of itself. */
-export interface OwnView {
+export interface EntryLoadView {
   /** How late its event loop is, in ms, smoothed. */
   readonly lagMs: number
   /** How long a job of the least priority that waits here will wait, in ms. */
@@ -20,7 +20,7 @@
 }
 
 /** The same of an entry that may hand work on. */
-export interface CallerView extends OwnView {
+export interface OriginView extends EntryLoadView {
   /** Part of its starts that came back lately, as the room it knew of was gone; from 0 to 1. */
   readonly returnedShare: number
 }
@@ -29,7 +29,7 @@
 export interface NeighbourView {
   readonly zone: string
   /** When its news was read; on the clock of `now`. */
-  readonly toldAt: number
+  readonly receivedAt: number
   /** It answers, and its news tells of the job's service. */
   readonly isOpen: boolean
   readonly isStopping: boolean
@@ -38,7 +38,7 @@
   /** Its part of the free room, in thousandths of a core. */
   readonly freeMilli: number
   /** What was handed to it since its news, in thousandths of a core. */
-  readonly unseenMilli: number
+  readonly unreportedMilli: number
 }
 
 /** What the decision rests on. */
@@ -46,8 +46,8 @@
   readonly now: number
   readonly zone: string
   /** The entry needs help, by `needsHelp`. */
-  readonly isShort: boolean
-  readonly own: CallerView
+  readonly isOverloaded: boolean
+  readonly own: OriginView
   readonly neighbours: readonly Neighbour[]
   /** Jobs handed on and not ended. */
   readonly outstanding: number
@@ -64,11 +64,11 @@
 
 /** Why a job stays. */
 export const KEEP_REASONS = {
-  notShort: 'not_short',
+  notOverloaded: 'not_short',
   outstanding: 'outstanding',
   share: 'share',
   /** Nobody's news is young enough. */
-  noNews: 'no_news',
+  noReport: 'no_news',
   /** Nobody has enough room more, or is that much less late. */
   noGain: 'no_gain'
 } as const
@@ -80,57 +80,57 @@
   | { type: 'hand_on', to: Neighbour, gainMs: number }
 
 /** News that is older says nothing: room fills in that time. */
-export const NEWS_MS = 200
+export const MAX_REPORT_AGE_MS = 200
 /** A loop so late runs short; below the second figure it does no more, so that it does not come and go. */
-const SHORT_LAG_MS = 8
-const ENOUGH_LAG_MS = 4
+const OVERLOAD_ENTER_LAG_MS = 8
+const OVERLOAD_EXIT_LAG_MS = 4
 /** The same for a job's wait. */
-const SHORT_WAIT_MS = 30
-const ENOUGH_WAIT_MS = 5
+const OVERLOAD_ENTER_WAIT_MS = 30
+const OVERLOAD_EXIT_WAIT_MS = 5
 /** A late entry whose starts come back sends them to room that is gone; so many of them. */
-const NEED_RETURNED_SHARE = 0.08
-const ENOUGH_RETURNED_SHARE = 0.03
+const ENTER_RETURNED_SHARE = 0.08
+const EXIT_RETURNED_SHARE = 0.03
 /**
  * A loop so late has too little processor for its callers, whatever becomes of
  * its starts. Below it nothing is gained by lateness alone: request and answer
  * pass the same loop either way.
  */
-const SATURATED_LAG_MS = 30
-const UNSATURATED_LAG_MS = 20
+const SATURATION_ENTER_LAG_MS = 30
+const SATURATION_EXIT_LAG_MS = 20
 /** Two ways between entries and what they cost both, within a zone and between zones. */
-const NEAR_COST_MS = 6
-const FAR_COST_MS = 12
+const SAME_ZONE_COST_MS = 6
+const CROSS_ZONE_COST_MS = 12
 /** Room that a neighbour keeps for its own callers, in needs of the whole job. */
-const ROOM_FACTOR = 2
+const FREE_CAPACITY_FACTOR = 2
 
 /**
  * Whether an entry runs short of time or room.
  *
  * @param own - what it observes
- * @param was - what was said last: it takes less to remain short than to get so
+ * @param wasOverloaded - what was said last: it takes less to remain short than to get so
  */
-export const runsShort = ({ lagMs, waitMs }: OwnView, was: boolean): boolean =>
-  was ? lagMs > ENOUGH_LAG_MS || waitMs > ENOUGH_WAIT_MS : lagMs > SHORT_LAG_MS || waitMs > SHORT_WAIT_MS
+export const isOverloaded = ({ lagMs, waitMs }: EntryLoadView, wasOverloaded: boolean): boolean =>
+  wasOverloaded ? lagMs > OVERLOAD_EXIT_LAG_MS || waitMs > OVERLOAD_EXIT_WAIT_MS : lagMs > OVERLOAD_ENTER_LAG_MS || waitMs > OVERLOAD_ENTER_WAIT_MS
 
 /**
  * Whether an entry should hand work on.
  *
  * @param own - what it observes
- * @param was - what was said last
+ * @param neededHelp - what was said last
  */
-export const needsHelp = ({ lagMs, waitMs, returnedShare }: CallerView, was: boolean): boolean => {
-  if (waitMs > (was ? ENOUGH_WAIT_MS : SHORT_WAIT_MS)) return true
-  if (lagMs > (was ? UNSATURATED_LAG_MS : SATURATED_LAG_MS)) return true
-  return lagMs > (was ? ENOUGH_LAG_MS : SHORT_LAG_MS) && returnedShare > (was ? ENOUGH_RETURNED_SHARE : NEED_RETURNED_SHARE)
+export const needsHelp = ({ lagMs, waitMs, returnedShare }: OriginView, neededHelp: boolean): boolean => {
+  if (waitMs > (neededHelp ? OVERLOAD_EXIT_WAIT_MS : OVERLOAD_ENTER_WAIT_MS)) return true
+  if (lagMs > (neededHelp ? SATURATION_EXIT_LAG_MS : SATURATION_ENTER_LAG_MS)) return true
+  return lagMs > (neededHelp ? OVERLOAD_EXIT_LAG_MS : OVERLOAD_ENTER_LAG_MS) && returnedShare > (neededHelp ? EXIT_RETURNED_SHARE : ENTER_RETURNED_SHARE)
 }
 
 /** What a job is spared at its own entry: the wait, another pass of the loop each way if any of its starts comes back, and what a saturated loop adds. */
-const sparedMs = ({ lagMs, waitMs, returnedShare }: CallerView, count: number): number =>
-  waitMs + 2 * lagMs * (1 - (1 - returnedShare) ** count) + Math.max(0, lagMs - SATURATED_LAG_MS)
+const savedMs = ({ lagMs, waitMs, returnedShare }: OriginView, count: number): number =>
+  waitMs + 2 * lagMs * (1 - (1 - returnedShare) ** count) + Math.max(0, lagMs - SATURATION_ENTER_LAG_MS)
 
 /** What it meets at the other one: offer and end pass its loop. */
 const addedMs = ({ lagMs, waitMs, zone }: NeighbourView, ownZone: string): number =>
-  2 * lagMs + waitMs + (zone === ownZone ? NEAR_COST_MS : FAR_COST_MS)
+  2 * lagMs + waitMs + (zone === ownZone ? SAME_ZONE_COST_MS : CROSS_ZONE_COST_MS)
 
 /** The job, as far as the decision goes. */
 export interface HandOnJob {
@@ -140,8 +140,8 @@
   readonly needMilli: number
 }
 
-const isFresh = ({ isOpen, isStopping, toldAt }: NeighbourView, now: number): boolean =>
-  isOpen && !isStopping && now - toldAt <= NEWS_MS
+const isFresh = ({ isOpen, isStopping, receivedAt: toldAt }: NeighbourView, now: number): boolean =>
+  isOpen && !isStopping && now - toldAt <= MAX_REPORT_AGE_MS
 
 /**
  * Hands a job on if the entry runs short, to the neighbour that gains most; to
@@ -154,15 +154,15 @@
 export const handOn = <Neighbour extends NeighbourView>(
   { count, needMilli }: HandOnJob, view: HandOnView<Neighbour>, { maxOutstanding, maxShare }: HandOnLimits
 ): HandOnDecision<Neighbour> => {
-  if (!view.isShort) return { type: 'keep', reason: KEEP_REASONS.notShort }
+  if (!view.isOverloaded) return { type: 'keep', reason: KEEP_REASONS.notOverloaded }
   if (view.outstanding >= maxOutstanding) return { type: 'keep', reason: KEEP_REASONS.outstanding }
   if (view.share >= maxShare) return { type: 'keep', reason: KEEP_REASONS.share }
   const fresh = view.neighbours.filter((neighbour) => isFresh(neighbour, view.now))
-  if (fresh.length === 0) return { type: 'keep', reason: KEEP_REASONS.noNews }
+  if (fresh.length === 0) return { type: 'keep', reason: KEEP_REASONS.noReport }
   let best: { to: Neighbour, gainMs: number } | undefined
   for (const to of fresh) {
-    if (to.freeMilli - to.unseenMilli < ROOM_FACTOR * needMilli || runsShort(to, false)) continue
-    const gainMs = sparedMs(view.own, count) - addedMs(to, view.zone)
+    if (to.freeMilli - to.unreportedMilli < FREE_CAPACITY_FACTOR * needMilli || isOverloaded(to, false)) continue
+    const gainMs = savedMs(view.own, count) - addedMs(to, view.zone)
     if (gainMs > (best?.gainMs ?? 0)) best = { to, gainMs }
   }
   return best === undefined ? { type: 'keep', reason: KEEP_REASONS.noGain } : { type: 'hand_on', ...best }
@@ -170,7 +170,7 @@
 
 /** What an entry knows when another one hands it a job. */
 export interface HostView {
-  readonly own: OwnView
+  readonly own: EntryLoadView
   readonly isStopping: boolean
   /** Jobs of other entries that it has. */
   readonly hosted: number
@@ -182,7 +182,7 @@
 /** Jobs of others that an entry takes on at once. */
 export const MAX_HOSTED = 128
 /** An offer of an entry that has not been heard of for longer was held up; its start would find little authority left. */
-export const OFFER_AGE_MS = 150
+export const MAX_OFFER_AGE_MS = 150
 
 /** Why an entry takes no job of another one. */
 export type HostRefusal = 'stopping' | 'short' | 'hosted' | 'stale'
@@ -190,7 +190,7 @@
 /** Whether an entry takes another one's job on; admission follows. */
 export const findHostRefusal = ({ own, isStopping, hosted, aliveAt, now }: HostView): HostRefusal | undefined => {
   if (isStopping) return 'stopping'
-  if (now - aliveAt > OFFER_AGE_MS) return 'stale'
+  if (now - aliveAt > MAX_OFFER_AGE_MS) return 'stale'
   if (hosted >= MAX_HOSTED) return 'hosted'
-  return runsShort(own, false) ? 'short' : undefined
+  return isOverloaded(own, false) ? 'short' : undefined
 }
--- a/packages/decisions/src/move.ts
+++ b/packages/decisions/src/moveRun.ts
@@ -9,7 +9,7 @@
 /** A run in progress. */
 export interface RunView {
   /** Time since its start was sent, in ms. */
-  readonly ranMs: number
+  readonly elapsedMs: number
   /** Run time to expect of one task of the job, in ms. */
   readonly expectedMs: number
   /** Longest run of the job's tasks that ended, in ms. */
@@ -21,20 +21,20 @@
 }
 
 /** At an endpoint whose other runs are slow, too, a run this many times longer than usual is moved, if another has room. */
-const STRAGGLER_FACTOR = 2
+const SLOW_ENDPOINT_FACTOR = 2
 /** Elsewhere the job itself is likely to be long. */
-const LONE_STRAGGLER_FACTOR = 4
+const NORMAL_ENDPOINT_FACTOR = 4
 /** An endpoint this much slower than expected is suspect. */
-const SUSPECT_SLOWNESS = 1.5
+const SLOW_ENDPOINT_SLOWNESS = 1.5
 /** Runs that are only this much longer than expected are not moved: moving costs a stop and a new start. */
-const STRAGGLER_MIN_MS = 150
+const MIN_EXCESS_MS = 150
 
 /** True if the run should go elsewhere, if there is room. */
-export type Move = (run: RunView) => boolean
+export type MoveRun = (run: RunView) => boolean
 
 /** Moves runs that take far longer than others of their kind. Callers' guesses are often several times too short. */
-export const move: Move = ({ ranMs, expectedMs, longestRunMs, usualMs, slowness }) => {
+export const moveRun: MoveRun = ({ elapsedMs: ranMs, expectedMs, longestRunMs, usualMs, slowness }) => {
   const longMs = Math.max(expectedMs, longestRunMs, usualMs)
-  const factor = slowness >= SUSPECT_SLOWNESS ? STRAGGLER_FACTOR : LONE_STRAGGLER_FACTOR
-  return ranMs >= Math.max(factor * longMs, longMs + STRAGGLER_MIN_MS)
+  const factor = slowness >= SLOW_ENDPOINT_SLOWNESS ? SLOW_ENDPOINT_FACTOR : NORMAL_ENDPOINT_FACTOR
+  return ranMs >= Math.max(factor * longMs, longMs + MIN_EXCESS_MS)
 }
--- a/packages/decisions/src/offer.ts
+++ b/packages/decisions/src/offerCapacity.ts
@@ -8,7 +8,7 @@
 import type { Resources } from './types.js'
 
 /** An entry with tasks that wait for room. */
-export interface WantingEntry {
+export interface EntryDemand {
   readonly incarnation: string
   /** Of the first task that waits; 0 goes first. */
   readonly priority: number
@@ -17,14 +17,14 @@
 }
 
 /** Whose turn it is. */
-export interface Turn {
+export interface CurrentOffer {
   readonly holder: string | undefined
   /** When the room was offered to it, in ms. */
   readonly offeredAt: number
 }
 
 /** How long free room is kept for the entry that was offered it: a round trip between zones, and some. */
-export const OFFER_MS = 12
+export const CAPACITY_OFFER_MS = 12
 /** Below this share of the capacity, free room is offered to one entry at a time. */
 const SCARCE_SHARE = 0.25
 
@@ -33,19 +33,19 @@
   free.cpuMilli < capacity.cpuMilli * SCARCE_SHARE
 
 /** Chooses the entry that free room is offered to. */
-export type Offer = (wanting: readonly WantingEntry[], turn: Turn, now: number) => string | undefined
+export type OfferCapacity = (wanting: readonly EntryDemand[], turn: CurrentOffer, now: number) => string | undefined
 
 /**
  * The entry whose turn it is keeps it for a moment; then by priority, then who
  * was served longest ago.
  *
- * @param wanting - entries with tasks that wait
+ * @param demands - entries with tasks that wait
  * @param turn - whose turn it was
  * @param now - in ms, on the clock of the turn
  * @returns the incarnation of an entry, or nothing if none wants room
  */
-export const offer: Offer = (wanting, { holder, offeredAt }, now) => {
-  const isHeld = now - offeredAt < OFFER_MS && wanting.some(({ incarnation }) => incarnation === holder)
-  if (isHeld) return holder
-  return [...wanting].sort((a, b) => a.priority - b.priority || a.servedAt - b.servedAt)[0]?.incarnation
+export const offerCapacity: OfferCapacity = (demands, { holder, offeredAt }, now) => {
+  const isStillOffered = now - offeredAt < CAPACITY_OFFER_MS && demands.some(({ incarnation }) => incarnation === holder)
+  if (isStillOffered) return holder
+  return [...demands].sort((a, b) => a.priority - b.priority || a.servedAt - b.servedAt)[0]?.incarnation
 }
--- a/packages/decisions/src/order.test.ts
+++ b/packages/decisions/src/orderJobs.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, it } from 'vitest'
 import { jobView } from '../tests/views.js'
-import { latestStart, order } from './order.js'
+import { latestStart, orderJobs } from './orderJobs.js'
 import type { JobView } from './types.js'
 
 const NOW = 1000
@@ -15,7 +15,7 @@
   ]
   it.each(cases)('$name', ({ jobs, expected }) => {
     const named = Object.entries(jobs).map(([id, job]) => ({ id, ...jobView(job) }))
-    expect(order(named, NOW).map(({ id }) => id)).toEqual(expected)
+    expect(orderJobs(named, NOW).map(({ id }) => id)).toEqual(expected)
   })
 
   it('a run longer than usual is allowed for', () => {
--- a/packages/decisions/src/order.ts
+++ b/packages/decisions/src/orderJobs.ts
@@ -8,9 +8,9 @@
  * Bounds: without overload the lowest priority waits as long as higher ones fill
  * the endpoints; under overload until it is below its floor.
  */
-import { NO_LOAD } from './forecast.js'
+import { UNKNOWN_LOAD } from './forecast.js'
 import type { LoadView } from './forecast.js'
-import { competingPriority } from './shares.js'
+import { effectivePriority } from './shares.js'
 import type { JobView } from './types.js'
 
 /**
@@ -30,7 +30,7 @@
   job.mayHaveRun === 0 && latestStart(job) < now
 
 /** Puts waiting jobs into the order in which they go. */
-export type Order = <Job extends JobView>(jobs: Iterable<Job>, now: number, load?: LoadView) => Job[]
+export type OrderJobs = <Job extends JobView>(jobs: Iterable<Job>, now: number, load?: LoadView) => Job[]
 
 /**
  * Jobs that can still be in time first, or that have begun; then by priority,
@@ -42,8 +42,8 @@
  * @param load - of their service
  * @returns the first one to go first
  */
-export const order: Order = (jobs, now, { queues } = NO_LOAD) => {
-  const priorityOf = competingPriority(queues)
+export const orderJobs: OrderJobs = (jobs, now, { queues } = UNKNOWN_LOAD) => {
+  const priorityOf = effectivePriority(queues)
   const ranked = [...jobs].map((job) =>
     ({ job, startBy: latestStart(job), priority: priorityOf(job.priority), group: isLate(job, now) ? 1 : 0 }))
   ranked.sort((a, b) => a.group - b.group || a.priority - b.priority || a.startBy - b.startBy)
--- a/packages/decisions/src/place.test.ts
+++ b/packages/decisions/src/placeTask.test.ts
@@ -1,7 +1,7 @@
 import { describe, expect, it } from 'vitest'
 import { jobView, placeView } from '../tests/views.js'
-import { place } from './place.js'
-import type { PlaceContext, PlaceView } from './place.js'
+import { placeTask } from './placeTask.js'
+import type { PlaceContext, PlaceView } from './placeTask.js'
 
 type Agents = Record<string, Parameters<typeof placeView>[0]>
 type Named = PlaceView & { id: string }
@@ -15,9 +15,9 @@
     random,
     maySend: ({ id }) => !aside.includes(id),
     isAvoided: ({ id }) => avoided.includes(id),
-    near: named.find(({ id }) => id === near)
+    preferred: named.find(({ id }) => id === near)
   }
-  return place(named, jobView(), context)?.id
+  return placeTask(named, jobView(), context)?.id
 }
 
 describe('where a task goes', () => {
@@ -25,8 +25,8 @@
     { name: 'nowhere without room', agents: { a: { rooms: 0 } }, expected: undefined },
     { name: 'to its own availability zone', agents: { a: { zone: 'there' }, b: {} }, expected: 'b' },
     { name: 'elsewhere rather than to a last place', agents: { a: { rooms: 1 }, b: { zone: 'there' } }, expected: 'b' },
-    { name: 'not to a last place that was told a while ago', agents: { a: { rooms: 1, heardAt: -20 } }, expected: undefined },
-    { name: 'not to an agent that has been silent', agents: { a: { heardAt: -500 } }, expected: undefined },
+    { name: 'not to a last place that was told a while ago', agents: { a: { rooms: 1, receivedAt: -20 } }, expected: undefined },
+    { name: 'not to an agent that has been silent', agents: { a: { receivedAt: -500 } }, expected: undefined },
     { name: 'not to an endpoint that is set aside', agents: { a: {} }, aside: ['a'], expected: undefined },
     { name: 'rather not where a run of it has failed', agents: { a: {}, b: { zone: 'there' } }, avoided: ['a'], expected: 'b' },
     { name: 'to a last place rather than to a slow endpoint', agents: { a: { rooms: 1 }, b: { slowness: 1.5 } }, expected: 'a' },
--- a/packages/decisions/src/shares.test.ts
+++ b/packages/decisions/src/shares.test.ts
@@ -1,15 +1,15 @@
 import fc from 'fast-check'
 import { describe, expect, it } from 'vitest'
 import { jobView } from '../tests/views.js'
-import { FLOOR_SHARE, NO_LOAD, competingPriority, forecastWait, isBelowFloor, offeredPriority, order, shares } from './index.js'
+import { FLOOR_SHARE, UNKNOWN_LOAD, effectivePriority, forecastWait, isBelowFloor, demandPriority, orderJobs, computeShares } from './index.js'
 import type { JobView, QueueLoad, QueueShare } from './index.js'
 
 const SEED = 20_261_203
 const RUNS = { seed: SEED, numRuns: 200 }
 
 const queueOf = (priority: number, askedMilli: number, more: Partial<QueueLoad> = {}): QueueLoad =>
-  ({ priority, askedMilli, takenMilli: askedMilli, startedMilli: askedMilli, refusedMilli: 0, ...more })
-const floorsOf = (servedMilli: number, queues: QueueLoad[]): number[] => shares(servedMilli, queues).map(({ floorMilli }) => floorMilli)
+  ({ priority, arrivedMilli: askedMilli, admittedMilli: askedMilli, startedMilli: askedMilli, refusedMilli: 0, ...more })
+const floorsOf = (servedMilli: number, queues: QueueLoad[]): number[] => computeShares(servedMilli, queues).map(({ floorMilli }) => floorMilli)
 
 const queuesArbitrary = fc.uniqueArray(
   fc.record({ priority: fc.nat(9), askedMilli: fc.double({ min: 1, max: 1e6, noNaN: true }) }), { selector: ({ priority }) => priority, minLength: 1, maxLength: 6 })
@@ -31,15 +31,15 @@
     fc.assert(fc.property(servedArbitrary, queuesArbitrary, (served, queues) => {
       const floors = floorsOf(served, queues)
       expect(floors.reduce((sum, floor) => sum + floor, 0)).toBeLessThanOrEqual(served)
-      for (const [index, floor] of floors.entries()) expect(floor).toBeLessThanOrEqual(queues[index]!.askedMilli)
+      for (const [index, floor] of floors.entries()) expect(floor).toBeLessThanOrEqual(queues[index]!.arrivedMilli)
     }), RUNS)
   })
 
   it('asking for more never raises the part of it that is kept', () => {
     fc.assert(fc.property(servedArbitrary, queuesArbitrary, fc.double({ min: 1, max: 10, noNaN: true }), (served, queues, times) => {
       const [first, ...others] = queues
-      const partOf = (askedMilli: number): number => floorsOf(served, [{ ...first!, askedMilli }, ...others])[0]! / askedMilli
-      const [honest, greedy] = [partOf(first!.askedMilli), partOf(first!.askedMilli * times)]
+      const partOf = (askedMilli: number): number => floorsOf(served, [{ ...first!, arrivedMilli: askedMilli }, ...others])[0]! / askedMilli
+      const [honest, greedy] = [partOf(first!.arrivedMilli), partOf(first!.arrivedMilli * times)]
       // Without overload nothing is kept, as nothing is refused.
       if (honest > 0) expect(greedy).toBeLessThanOrEqual(honest * (1 + 1e-9))
     }), RUNS)
@@ -73,7 +73,7 @@
   ]
   it.each(cases)('$name', ({ queues, dueAt = [], expected }) => {
     const jobs = [2, 1, 0].map((priority) => jobView({ priority, dueAt: dueAt[priority] ?? 200 }))
-    expect(order(jobs, 0, { servedMilli: 2000, queues }).map(({ priority }) => priority)).toEqual(expected)
+    expect(orderJobs(jobs, 0, { servedMilli: 2000, queues }).map(({ priority }) => priority)).toEqual(expected)
   })
 
   it('leaves out no job, so that room is never kept for a queue without work', () => {
@@ -81,18 +81,18 @@
     fc.assert(fc.property(jobs, fc.array(fc.boolean(), { minLength: 5, maxLength: 5 }), (views, below) => {
       const queues = below.map((isBelow, priority) => shareOf(priority, isBelow ? BELOW : {}))
       const waiting = views.map((view) => jobView(view))
-      expect(new Set(order(waiting, 500, { servedMilli: 1, queues }))).toEqual(new Set(waiting))
+      expect(new Set(orderJobs(waiting, 500, { servedMilli: 1, queues }))).toEqual(new Set(waiting))
     }), RUNS)
   })
 
   it('a late job of a queue below its floor goes behind those that can be in time', () => {
     const queues = [shareOf(0, {}), shareOf(1, BELOW)]
     const jobs: JobView[] = [jobView({ priority: 1, dueAt: 100 }), jobView({ priority: 0 })]
-    expect(order(jobs, 50, { servedMilli: 1000, queues }).map(({ priority }) => priority)).toEqual([0, 1])
+    expect(orderJobs(jobs, 50, { servedMilli: 1000, queues }).map(({ priority }) => priority)).toEqual([0, 1])
   })
 
   it('nothing is known: by priority', () => {
-    expect([competingPriority, offeredPriority].map((priorityOf) => priorityOf(NO_LOAD.queues)(3))).toEqual([3, 3])
+    expect([effectivePriority, demandPriority].map((priorityOf) => priorityOf(UNKNOWN_LOAD.queues)(3))).toEqual([3, 3])
   })
 
   const offered = [
@@ -102,12 +102,12 @@
   it.each(offered)('$name', ({ below, expected }) => {
     const priorities = [0, 2, 4]
     const queues = priorities.map((priority) => shareOf(priority, priority === below ? BELOW : {}))
-    expect(priorities.map(offeredPriority(queues))).toEqual(expected)
+    expect(priorities.map(demandPriority(queues))).toEqual(expected)
   })
 })
 
 describe('how long a job waits by shares', () => {
-  const load = (mine: Partial<QueueShare>) => ({ servedMilli: 1000, queues: [shareOf(0, { takenMilli: 500 }), shareOf(1, mine)] })
+  const load = (mine: Partial<QueueShare>) => ({ servedMilli: 1000, queues: [shareOf(0, { admittedMilli: 500 }), shareOf(1, mine)] })
   const cases: Array<{ name: string, mine: Partial<QueueShare>, expected: number }> = [
     { name: 'for all that is ahead, by what more urgent work leaves', mine: {}, expected: 200 },
     { name: 'below its floor only for its own queue', mine: { floorMilli: 400, startedMilli: 1, refusedMilli: 999 }, expected: 100 },
--- a/packages/decisions/src/shares.ts
+++ b/packages/decisions/src/shares.ts
@@ -22,9 +22,9 @@
   /** 0 goes first. */
   readonly priority: number
   /** All that arrived, whether it was taken on or not. */
-  readonly askedMilli: number
+  readonly arrivedMilli: number
   /** What was taken on. */
-  readonly takenMilli: number
+  readonly admittedMilli: number
   /** What was started. */
   readonly startedMilli: number
   /** What was refused. */
@@ -38,7 +38,7 @@
 }
 
 /** Works out what is kept for each queue of a service, of what an entry serves of it. */
-export type Shares = (servedMilli: number, queues: readonly QueueLoad[]) => QueueShare[]
+export type ComputeShares = (servedMilli: number, queues: readonly QueueLoad[]) => QueueShare[]
 
 /**
  * Part that is kept for each queue of what it would get if all were served the
@@ -53,20 +53,20 @@
  * @param servedMilli - what the entry serves
  * @param queues - those of one service
  */
-export const shares: Shares = (servedMilli, queues) => {
-  const askedMilli = queues.reduce((sum, queue) => sum + queue.askedMilli, 0)
-  const part = askedMilli > servedMilli ? FLOOR_SHARE * servedMilli / askedMilli : 0
-  return queues.map((queue) => ({ ...queue, floorMilli: part * queue.askedMilli }))
+export const computeShares: ComputeShares = (servedMilli, queues) => {
+  const arrivedMilli = queues.reduce((sum, queue) => sum + queue.arrivedMilli, 0)
+  const floorShare = arrivedMilli > servedMilli ? FLOOR_SHARE * servedMilli / arrivedMilli : 0
+  return queues.map((queue) => ({ ...queue, floorMilli: floorShare * queue.arrivedMilli }))
 }
 
 /**
  * True if more of a queue's work was refused lately than what is kept for it
  * allows. Work that waits counts for nothing: it may still be in time.
  */
-export const isBelowFloor = ({ floorMilli, askedMilli, startedMilli, refusedMilli }: QueueShare): boolean =>
+export const isBelowFloor = ({ floorMilli, arrivedMilli: askedMilli, startedMilli, refusedMilli }: QueueShare): boolean =>
   startedMilli * askedMilli < floorMilli * (startedMilli + refusedMilli)
 
-const raised = (queues: readonly QueueShare[], stepsBehind: number): ((priority: number) => number) => {
+const raisePriorities = (queues: readonly QueueShare[], stepsBehind: number): ((priority: number) => number) => {
   const below = new Set(queues.filter(isBelowFloor).map(({ priority }) => priority))
   const first = Math.min(...queues.map(({ priority }) => priority))
   return (priority) => below.has(priority) ? Math.min(priority, first + stepsBehind) : priority
@@ -78,7 +78,7 @@
  *
  * @param queues - those of one service
  */
-export const competingPriority = (queues: readonly QueueShare[]): ((priority: number) => number) => raised(queues, 0)
+export const effectivePriority = (queues: readonly QueueShare[]): ((priority: number) => number) => raisePriorities(queues, 0)
 
 /**
  * The priorities with which entries compete for scarce room at an agent: queues
@@ -87,4 +87,4 @@
  *
  * @param queues - those of one service
  */
-export const offeredPriority = (queues: readonly QueueShare[]): ((priority: number) => number) => raised(queues, 1)
+export const demandPriority = (queues: readonly QueueShare[]): ((priority: number) => number) => raisePriorities(queues, 1)
--- a/packages/decisions/src/giveUp.ts
+++ b/packages/decisions/src/shed.ts
@@ -12,12 +12,12 @@
  * many times the objective: 1% to 4% more answers in time, by kind of job, than
  * with three times, on a day over capacity (1.2, 1.5, 2 and 3 times were played).
  */
-const GIVE_UP_FACTOR = 1.5
+const SHED_OBJECTIVE_FACTOR = 1.5
 /** The same after this part of the time that the caller waits: it can still go elsewhere, or come again in time. */
-const GIVE_UP_SHARE = 0.45
+const SHED_DEADLINE_SHARE = 0.45
 
 /** What the time of giving up rests on, in ms. */
-export interface Waiting {
+export interface JobTimes {
   arrivedAt: number
   /** Response time asked for. */
   objectiveMs: number
@@ -28,8 +28,8 @@
 }
 
 /** Until when a job may wait for its first start, in ms on the clock of `arrivedAt`. */
-export const giveUpAt = ({ arrivedAt, objectiveMs, expectedMs, deadlineMs }: Waiting): number =>
-  arrivedAt + Math.min(GIVE_UP_FACTOR * objectiveMs - expectedMs, GIVE_UP_SHARE * deadlineMs)
+export const shedAt = ({ arrivedAt, objectiveMs, expectedMs, deadlineMs }: JobTimes): number =>
+  arrivedAt + Math.min(SHED_OBJECTIVE_FACTOR * objectiveMs - expectedMs, SHED_DEADLINE_SHARE * deadlineMs)
 
 /**
  * True if the job is to be refused now.
@@ -38,11 +38,11 @@
  * @param now - in ms, on the clock of its times
  * @param waitMs - how long it will still wait, as forecast
  */
-export type GiveUp = (job: JobView, now: number, waitMs: number) => boolean
+export type Shed = (job: JobView, now: number, waitMs: number) => boolean
 
 /**
  * Refuses what has not begun and will not begin in time: as soon as the forecast
  * says so, not when the time is over. What has begun is finished, or ends at its
  * deadline.
  */
-export const giveUp: GiveUp = (job, now, waitMs) => job.mayHaveRun === 0 && now + waitMs > job.giveUpAt
+export const shed: Shed = (job, now, waitMs) => job.mayHaveRun === 0 && now + waitMs > job.shedAt
--- a/packages/decisions/src/part.test.ts
+++ b/packages/decisions/src/subset.test.ts
@@ -1,27 +1,27 @@
 import { createHash } from 'node:crypto'
 import { describe, expect, it } from 'vitest'
-import { ALL_ENTRIES, PART_LIMITS, choosePart } from './part.js'
-import type { EntryPlace, PartLimits } from './part.js'
+import { ALL_ENTRIES, SUBSET_LIMITS, chooseSubset } from './subset.js'
+import type { EntryLocation, SubsetLimits } from './subset.js'
 
 /** Figures of these tests; what is chosen must hold for any. */
-const LIMITS: PartLimits = { near: 3, far: 2 }
+const LIMITS: SubsetLimits = { near: 3, far: 2 }
 
 const scoreOf = (agent: string, address: string): number => createHash('sha1').update(`${agent}\n${address}`).digest().readUInt32BE()
 
-const entriesOf = (count: number, zones: number): EntryPlace[] =>
+const entriesOf = (count: number, zones: number): EntryLocation[] =>
   Array.from({ length: count }, (_, index) => ({ address: `e${index}`, zone: `z${index % zones}` }))
 
 interface Choice {
   agent?: string
   zone?: string
   lost?: string[]
-  limits?: PartLimits
+  limits?: SubsetLimits
 }
 
-const choose = (entries: EntryPlace[], { agent = 'a0', zone = 'z0', lost = [], limits = LIMITS }: Choice = {}): Set<string> =>
-  choosePart(entries, { zone, score: (address) => scoreOf(agent, address), isLost: (address) => lost.includes(address) }, limits)
+const choose = (entries: EntryLocation[], { agent = 'a0', zone = 'z0', lost = [], limits = LIMITS }: Choice = {}): Set<string> =>
+  chooseSubset(entries, { zone, score: (address) => scoreOf(agent, address), isUnreachable: (address) => lost.includes(address) }, limits)
 
-const zonesOf = (part: Set<string>, entries: EntryPlace[]): string[] =>
+const zonesOf = (part: Set<string>, entries: EntryLocation[]): string[] =>
   entries.filter(({ address }) => part.has(address)).map(({ zone }) => zone)
 
 describe('the entries that an agent chooses', () => {
@@ -86,7 +86,7 @@
   ]
   it.each(deployments)('by the product\'s limits, of $name', ({ entries: count, zones, near, far }) => {
     const entries = entriesOf(count, zones)
-    const found = zonesOf(choose(entries, { limits: PART_LIMITS }), entries)
+    const found = zonesOf(choose(entries, { limits: SUBSET_LIMITS }), entries)
     expect({ near: found.filter((zone) => zone === 'z0').length, far: found.filter((zone) => zone !== 'z0').length }).toEqual({ near, far })
   })
 })
--- a/packages/decisions/src/part.ts
+++ b/packages/decisions/src/subset.ts
@@ -11,7 +11,7 @@
  */
 
 /** Where an entry can be reached. */
-export interface EntryPlace {
+export interface EntryLocation {
   /** host:port of its sessions. */
   readonly address: string
   /** Availability zone; empty if it is not known. */
@@ -19,7 +19,7 @@
 }
 
 /** How many entries an agent holds sessions with. */
-export interface PartLimits {
+export interface SubsetLimits {
   /** Entries of its own availability zone. */
   readonly near: number
   /** Others. What one kind lacks, the other may have more. */
@@ -27,16 +27,16 @@
 }
 
 /** The agent that chooses. */
-export interface PartView {
+export interface SubsetView {
   readonly zone: string
   /** Score of an entry for this agent, the same at all times; the highest are chosen. */
   readonly score: (address: string) => number
   /** True for entries that could not be reached for a while. */
-  readonly isLost: (address: string) => boolean
+  readonly isUnreachable: (address: string) => boolean
 }
 
 /** With each entry, as where there are few. */
-export const ALL_ENTRIES: PartLimits = { near: Infinity, far: Infinity }
+export const ALL_ENTRIES: SubsetLimits = { near: Infinity, far: Infinity }
 
 /**
  * Two of the own zone keep most starts within it, and one can be lost; two of
@@ -46,7 +46,7 @@
  * have. Two and one is not taken, as each entry more that dies then
  * leaves some agents with one entry, or none, until substitutes are found.
  */
-export const PART_LIMITS: PartLimits = { near: 2, far: 2 }
+export const SUBSET_LIMITS: SubsetLimits = { near: 2, far: 2 }
 
 /**
  * The entries that an agent chooses, by rendezvous hashing: when one comes or
@@ -58,7 +58,7 @@
  * @param limits - how many
  * @returns addresses
  */
-export const choosePart = (entries: Iterable<EntryPlace>, { zone, score, isLost }: PartView, { near, far }: PartLimits): Set<string> => {
+export const chooseSubset = (entries: Iterable<EntryLocation>, { zone, score, isUnreachable: isLost }: SubsetView, { near, far }: SubsetLimits): Set<string> => {
   const ranked = [...entries].map((entry) => ({ ...entry, score: score(entry.address) })).sort((a, b) => b.score - a.score)
   const own = ranked.filter((entry) => entry.zone === zone)
   const others = ranked.filter((entry) => entry.zone !== zone)
--- a/packages/decisions/src/suspect.test.ts
+++ b/packages/decisions/src/suspect.test.ts
@@ -1,15 +1,15 @@
 import fc from 'fast-check'
 import { describe, expect, it } from 'vitest'
-import { calmest, judgeSuspect } from './suspect.js'
-import type { LossView, Verdict } from './suspect.js'
+import { leastLoaded, judgeSuspect } from './suspect.js'
+import type { LossView, SuspectVerdict } from './suspect.js'
 
 /** A loss as written: the place, the life there, `?` if the endpoint fell silent only, `*` if others crashed at the same time. */
 const loss = (text: string): LossView => ({
-  place: text[0]!, life: text.slice(0, 2), isCrash: !text.includes('?'), others: text.includes('*') ? 5 : 0
+  agent: text[0]!, incarnation: text.slice(0, 2), isCrash: !text.includes('?'), others: text.includes('*') ? 5 : 0
 })
 
 describe('a task under which endpoints were lost', () => {
-  const cases: Array<{ name: string, losses: string, verdict: Verdict }> = [
+  const cases: Array<{ name: string, losses: string, verdict: SuspectVerdict }> = [
     { name: 'none', losses: '', verdict: 'clear' },
     { name: 'one crash', losses: 'a1', verdict: 'suspect' },
     { name: 'two crashes', losses: 'a1 b1', verdict: 'give_up' },
@@ -68,7 +68,7 @@
     { name: 'only where it fits', agents: [at('a', 900), at('b', 4000, { memoryMb: 10 })], found: [] }
   ]
   it.each(cases)('$name', ({ agents, found }) => {
-    const chosen = calmest(agents, { cpuMilli: 1000, memoryMb: 100 }, {
+    const chosen = leastLoaded(agents, { cpuMilli: 1000, memoryMb: 100 }, {
       isAvoided: ({ isAvoided }) => isAvoided === true, hasSuspect: ({ hasSuspect }) => hasSuspect === true
     })
     expect(chosen.map(({ name }) => name)).toEqual(found)
--- a/packages/decisions/src/types.ts
+++ b/packages/decisions/src/types.ts
@@ -6,8 +6,8 @@
 }
 
 /** True if `need` fits into `room`. */
-export const fits = (need: Resources, room: Resources): boolean =>
-  need.cpuMilli <= room.cpuMilli && need.memoryMb <= room.memoryMb
+export const fits = (need: Resources, free: Resources): boolean =>
+  need.cpuMilli <= free.cpuMilli && need.memoryMb <= free.memoryMb
 
 /** A job as the decisions see it. All times are on the entry's monotonic clock, in ms. */
 export interface JobView {
@@ -21,9 +21,9 @@
   /** The answer is in time until then. */
   readonly dueAt: number
   /** From then on an answer is of no use. */
-  readonly uselessAt: number
+  readonly expiresAt: number
   /** A job of which nothing was started by then is refused. */
-  readonly giveUpAt: number
+  readonly shedAt: number
   /** Tasks that wait to be sent. */
   readonly queue: readonly number[]
   /** Tasks that ran, run or may run. */
--- a/packages/decisions/tests/views.ts
+++ b/packages/decisions/tests/views.ts
@@ -7,8 +7,8 @@
   expectedMs: 100,
   arrivedAt: 0,
   dueAt: 200,
-  uselessAt: 600,
-  giveUpAt: 200,
+  expiresAt: 600,
+  shedAt: 200,
   queue: [0],
   mayHaveRun: 0,
   longestRunMs: 0,
@@ -18,8 +18,8 @@
 /** An agent in zone `here` that has just told room for ten such tasks. */
 export const placeView = (more: Partial<PlaceView> & { rooms?: number } = {}): PlaceView => ({
   zone: 'here',
-  room: { cpuMilli: 1000 * (more.rooms ?? 10), memoryMb: 9999 },
-  heardAt: 0,
+  freeCapacity: { cpuMilli: 1000 * (more.rooms ?? 10), memoryMb: 9999 },
+  receivedAt: 0,
   slowness: 1,
   ...more
 })
--- a/packages/lab/src/createLabCaller.ts
+++ b/packages/lab/src/createLabCaller.ts
@@ -1,5 +1,5 @@
 import { ResponseTimes } from '@hazellift/coordination'
-import type { HoldOutcome, LeasedEndpoint, StartOutcome } from '@hazellift/coordination'
+import type { PollOutcome, LeasedEndpoint, StartOutcome } from '@hazellift/coordination'
 import type { LabEndpoint } from './labEndpoint.js'
 import type { LabProcess } from './labProcess.js'
 
@@ -41,6 +41,6 @@
   return {
     start: (order) => call<StartOutcome>({ type: 'unknown' }, 0, (answer) => endpoint.start(order, process.clock.now(), answer)),
     stop: (run) => call(false, 0, (answer) => endpoint.stop(run, answer)),
-    hold: (order) => call<HoldOutcome>({ type: 'unknown' }, order.waitMs, (answer) => endpoint.hold(order, process.clock.now(), answer))
+    poll: (order) => call<PollOutcome>({ type: 'unknown' }, order.waitMs, (answer) => endpoint.hold(order, process.clock.now(), answer))
   }
 }
--- a/packages/lab/src/labEndpoint.ts
+++ b/packages/lab/src/labEndpoint.ts
@@ -1,6 +1,6 @@
 import type { Clock, Random } from '@hazellift/common'
 import { RUN_ENDS } from '@hazellift/coordination'
-import type { HoldOrder, HoldOutcome, ListedEnd, RunEnd, RunRef, StartOrder, StartOutcome } from '@hazellift/coordination'
+import type { PollRequest, PollOutcome, ListedEnd, RunEnd, RunRef, StartOrder, StartOutcome } from '@hazellift/coordination'
 import type { Resources } from '@hazellift/decisions'
 import { REASONS } from '@hazellift/protocol'
 
@@ -31,7 +31,7 @@
 }
 
 interface Waiter {
-  answer: (outcome: HoldOutcome) => void
+  answer: (outcome: PollOutcome) => void
   cancel: () => void
 }
 
@@ -99,7 +99,7 @@
     this.receive(() => this.onStop(run), answer)
   }
 
-  hold ({ holdMs, lastSeen, waitMs }: HoldOrder, sentAt: number, answer: (outcome: HoldOutcome) => void): void {
+  hold ({ runLeaseMs: holdMs, lastSeen, waitMs }: PollRequest, sentAt: number, answer: (outcome: PollOutcome) => void): void {
     if (!this.isUp || this.random() < this.lostShare) return
     if (holdMs !== undefined) this.holdUntil(sentAt + holdMs)
     this.ends = this.ends.filter(({ seq }) => seq > lastSeen)
@@ -121,11 +121,11 @@
     waiter.answer(this.show())
   }
 
-  private show (): HoldOutcome {
+  private show (): PollOutcome {
     return { type: 'held', running: [...this.runs.values()].map(({ submission, index, run }) => ({ submission, index, run })), ended: [...this.ends] }
   }
 
-  private onStart ({ submission, index, run, holdMs }: StartOrder, sentAt: number): StartOutcome {
+  private onStart ({ submission, index, run, runLeaseMs: holdMs }: StartOrder, sentAt: number): StartOutcome {
     const name = `${submission}.${index}`
     const now = this.clock.now()
     if (run <= (this.endedRuns.get(name) ?? 0)) return { type: 'number_used' }
--- a/packages/lab/src/labLink.ts
+++ b/packages/lab/src/labLink.ts
@@ -1,6 +1,6 @@
 import type { Clock } from '@hazellift/common'
 import type { LeasedDispatcher, LeasedHost } from '@hazellift/coordination'
-import type { EntryPlace } from '@hazellift/decisions'
+import type { EntryLocation } from '@hazellift/decisions'
 import type { DialHandle } from '@hazellift/sessions'
 import type { LabProcess } from './labProcess.js'
 import { LabSession } from './labSession.js'
@@ -60,7 +60,7 @@
   agent: () => LabAgent
   entry: () => LabEntry
   /** Entries that the entry lists. */
-  listed: () => EntryPlace[]
+  listed: () => EntryLocation[]
   times?: LinkTimes
 }
 
--- a/packages/lab/src/labWorld.ts
+++ b/packages/lab/src/labWorld.ts
@@ -3,7 +3,7 @@
 import { LeasedDispatcher, LeasedHost, LeasedJobs } from '@hazellift/coordination'
 import type { LeasedDispatchEvents, LeaseTimes, RunEnd, RunRef } from '@hazellift/coordination'
 import { fits } from '@hazellift/decisions'
-import type { EntryPlace, Policy, Resources } from '@hazellift/decisions'
+import type { EntryLocation, Policy, Resources } from '@hazellift/decisions'
 import { REASONS } from '@hazellift/protocol'
 import { EntryDialer } from '@hazellift/sessions'
 import { createLabCaller } from './createLabCaller.js'
@@ -19,7 +19,7 @@
 import type { Scenario } from './scenario.js'
 
 /** The same chain of times as on the platform. */
-export const LEASE_TIMES: LeaseTimes = { authorityMs: 600, holdMs: 500, stopMs: 50, clockFactor: 1.02 }
+export const LEASE_TIMES: LeaseTimes = { entryLeaseMs: 600, runLeaseMs: 500, stopMs: 50, clockFactor: 1.02 }
 const HOLD_WAIT_MS = 100
 const SWEEP_MS = 25
 /** How often free room is looked at. */
@@ -150,7 +150,7 @@
   }
 
   /** The rows of entries stay in the store while their processes are away. */
-  private get places (): EntryPlace[] {
+  private get places (): EntryLocation[] {
     return this.entries.map(({ zone }, index) => ({ address: String(index), zone }))
   }
 
@@ -162,7 +162,7 @@
       score: (address) => rendezvousScore(id, address),
       limits: this.scenario.part,
       seeds: [],
-      seedPaceMs: 0,
+      seedIntervalMs: 0,
       dial: (address, handle) => this.links[index]![Number(address)]!.dial(handle)
     })
     dialer.onLookedUp(this.places)
@@ -181,8 +181,8 @@
       zone: this.zoneOf(index),
       times: LEASE_TIMES,
       events: { ...EVENTS, sent: (_job, _agent, tasks) => { this.counts.starts += tasks.length } },
-      setAsideShare: SET_ASIDE_SHARE,
-      setAsideBackoff: (times) => Math.min(SET_ASIDE_MS.most, SET_ASIDE_MS.base * 2 ** (times - 1)),
+      maxEjectedShare: SET_ASIDE_SHARE,
+      ejectionBackoff: (times) => Math.min(SET_ASIDE_MS.most, SET_ASIDE_MS.base * 2 ** (times - 1)),
       defer: (fn) => { process.clock.after(0, fn) },
       policy: this.policy
     })
@@ -200,7 +200,7 @@
       clock: process.clock,
       zone: this.zoneOf(index),
       times: LEASE_TIMES,
-      holdWaitMs: HOLD_WAIT_MS,
+      pollWaitMs: HOLD_WAIT_MS,
       log: () => {},
       observe: ({ reason }) => { if (reason === REASONS.noSlot) this.counts.startsInVain++ },
       offer: this.policy.offer
--- a/packages/lab/src/scenario.ts
+++ b/packages/lab/src/scenario.ts
@@ -1,5 +1,5 @@
 import { readFileSync } from 'node:fs'
-import { PART_LIMITS } from '@hazellift/decisions'
+import { SUBSET_LIMITS } from '@hazellift/decisions'
 import { parse } from 'smol-toml'
 import { z } from 'zod'
 
@@ -79,7 +79,7 @@
     megabits: oneOrMore(z.number().positive()).optional()
   }),
   /** How many entries an agent holds sessions with. */
-  part: z.strictObject({ near: z.number().int().min(0), far: z.number().int().min(0) }).default(PART_LIMITS),
+  part: z.strictObject({ near: z.number().int().min(0), far: z.number().int().min(0) }).default(SUBSET_LIMITS),
   /** Clients of each zone; all requests of one go to the entry that its hash gives. Without it requests are spread evenly. */
   clientsPerZone: z.number().int().min(1).optional(),
   endpoints: z.strictObject({
--- a/packages/sessions/src/entryDialer.test.ts
+++ b/packages/sessions/src/entryDialer.test.ts
@@ -1,17 +1,17 @@
 import { rendezvousScore } from '@hazellift/common'
 import { ALL_ENTRIES } from '@hazellift/decisions'
-import type { EntryPlace, PartLimits } from '@hazellift/decisions'
+import type { EntryLocation, SubsetLimits } from '@hazellift/decisions'
 import { describe, expect, it } from 'vitest'
 import { createFakeClock } from '../../coordination/tests/fakeClock.js'
 import { EntryDialer } from './entryDialer.js'
 import type { DialHandle } from './entryDialer.js'
 
 const STEP_MS = 10
-const LIMITS: PartLimits = { near: 2, far: 2 }
+const LIMITS: SubsetLimits = { near: 2, far: 2 }
 
 const settle = async (): Promise<void> => { for (let i = 0; i < 4; i++) await new Promise((resolve) => setImmediate(resolve)) }
 
-const entriesOf = (count: number): EntryPlace[] =>
+const entriesOf = (count: number): EntryLocation[] =>
   Array.from({ length: count }, (_, index) => ({ address: `e${index}`, zone: index % 2 === 0 ? 'here' : 'there' }))
 
 /** An agent's dialer, and entries that take its sessions, refuse them or never answer. */
@@ -23,7 +23,7 @@
   readonly down = new Set<string>()
   readonly dialer: EntryDialer
 
-  constructor (options: { limits?: PartLimits, seeds?: string[], seedPaceMs?: number } = {}) {
+  constructor (options: { limits?: SubsetLimits, seeds?: string[], seedPaceMs?: number } = {}) {
     const { limits = LIMITS, seeds = [], seedPaceMs = 0 } = options
     this.dialer = new EntryDialer({
       clock: this.clock,
@@ -32,7 +32,7 @@
       score: (address) => rendezvousScore('agent', address),
       limits,
       seeds,
-      seedPaceMs,
+      seedIntervalMs: seedPaceMs,
       dial: (address, handle) => this.dial(address, handle)
     })
   }
--- a/packages/sessions/src/handOnStreams.ts
+++ b/packages/sessions/src/handOnStreams.ts
@@ -5,8 +5,8 @@
 import { createConnectTransport } from '@connectrpc/connect-node'
 import { createLogger, errorMessage } from '@hazellift/common'
 import { Outbox } from '@hazellift/coordination'
-import type { HandedOnJobs, HandOnLink, HandOnPeer, HostedJobs, HostedPeer } from '@hazellift/coordination'
-import type { EntryPlace } from '@hazellift/decisions'
+import type { HandedOnJobs, HandOnLink, HandOnPeer, HostedJobs, OriginPeer } from '@hazellift/coordination'
+import type { EntryLocation } from '@hazellift/decisions'
 import { CallerFrameSchema, HandOnHelloSchema, HandOnService, HostFrameSchema } from '@hazellift/protocol'
 import type { CallerFrame, HostFrame } from '@hazellift/protocol'
 
@@ -27,7 +27,7 @@
  * @param neighbour - where it is
  * @param options - what a stream needs
  */
-export const dialHandOn = async ({ address, zone }: EntryPlace, { jobs, entryId, zone: ownZone, signal }: DialHandOnOptions): Promise<void> => {
+export const dialHandOn = async ({ address, zone }: EntryLocation, { jobs, entryId, zone: ownZone, signal }: DialHandOnOptions): Promise<void> => {
   const outbox = new Outbox<CallerFrame>(() => create(CallerFrameSchema), () => yieldTurn())
   outbox.add((frame) => { frame.hello = create(HandOnHelloSchema, { entryId, zone: ownZone }) })
   const over = new AbortController()
@@ -38,7 +38,7 @@
   let peer: HandOnPeer | undefined
   const stamped = async function * (): AsyncGenerator<CallerFrame> {
     for await (const frame of outbox) {
-      if (peer !== undefined) jobs.stamp(peer, frame)
+      if (peer !== undefined) jobs.fillFrame(peer, frame)
       yield frame
     }
   }
@@ -69,12 +69,12 @@
   private async * open (frames: AsyncIterable<CallerFrame>, context: HandlerContext): AsyncGenerator<HostFrame> {
     const outbox = new Outbox<HostFrame>(() => create(HostFrameSchema), () => yieldTurn())
     const link: HandOnLink<HostFrame> = { add: (add) => outbox.add(add), close: () => outbox.close() }
-    const opened: { peer: HostedPeer | undefined } = { peer: undefined }
+    const opened: { peer: OriginPeer | undefined } = { peer: undefined }
     context.signal.addEventListener('abort', link.close)
     void this.read(frames, link, opened)
     try {
       for await (const frame of outbox) {
-        if (opened.peer !== undefined) this.jobs.stamp(opened.peer, frame)
+        if (opened.peer !== undefined) this.jobs.fillFrame(opened.peer, frame)
         yield frame
       }
     } finally {
@@ -82,7 +82,7 @@
     }
   }
 
-  private async read (frames: AsyncIterable<CallerFrame>, link: HandOnLink<HostFrame>, opened: { peer: HostedPeer | undefined }): Promise<void> {
+  private async read (frames: AsyncIterable<CallerFrame>, link: HandOnLink<HostFrame>, opened: { peer: OriginPeer | undefined }): Promise<void> {
     try {
       for await (const frame of frames) {
         if (frame.hello !== undefined) opened.peer ??= this.jobs.open(frame.hello, link)
--- a/packages/sessions/src/knownEntries.ts
+++ b/packages/sessions/src/knownEntries.ts
@@ -1,4 +1,4 @@
-import type { EntryPlace } from '@hazellift/decisions'
+import type { EntryLocation } from '@hazellift/decisions'
 
 /**
  * Entries that an agent has heard of, by who told of them. An entry that cannot
@@ -6,7 +6,7 @@
  * source lists counts.
  */
 export class KnownEntries {
-  private readonly lists = new Map<string, readonly EntryPlace[]>()
+  private readonly lists = new Map<string, readonly EntryLocation[]>()
 
   /** True until anything was listed. */
   get isEmpty (): boolean {
@@ -14,7 +14,7 @@
   }
 
   /** A source told of the entries that it knows. */
-  set (source: string, entries: readonly EntryPlace[]): void {
+  set (source: string, entries: readonly EntryLocation[]): void {
     this.lists.set(source, entries)
   }
 
@@ -24,8 +24,8 @@
   }
 
   /** All of them, each once; a zone that one source knows is known. */
-  get all (): EntryPlace[] {
-    const byAddress = new Map<string, EntryPlace>()
+  get all (): EntryLocation[] {
+    const byAddress = new Map<string, EntryLocation>()
     for (const entries of this.lists.values()) {
       for (const entry of entries) {
         if (entry.zone !== '' || !byAddress.has(entry.address)) byAddress.set(entry.address, entry)
