--- a/packages/coordination/src/claims/claimStore.ts
+++ b/packages/coordination/src/claims/claimStore.ts
@@ -115,7 +115,7 @@
     if (record.answerObject === '') return ok(undefined)
     const res = await this.options.objects.get(record.answerObject)
     if (!res.ok) return res
-    if (res.value === undefined) return fail({ type: 'unknown', message: `answer object ${record.answerObject}, which a claim names, is not in the object store` })
+    if (res.value === undefined) return fail({ type: 'unknown', message: `answer object ${record.answerObject} is missing` })
     return ok(fromBinary(JobAnswerSchema, res.value))
   }
 
@@ -162,7 +162,7 @@
   /** A takeover finds no row if the claim expired and was removed meanwhile. */
   private onConflict (isGone: boolean, record: ClaimRecord, decodeExisting: () => Claim): ClaimOutcome {
     return isGone
-      ? { type: 'unavailable', nonce: record.nonce, certain: true, message: 'the claim expired before it was taken over' }
+      ? { type: 'unavailable', nonce: record.nonce, certain: true, message: 'the claim expired' }
       : { type: 'existing', claim: decodeExisting() }
   }
 
--- a/packages/coordination/src/config/configStore.ts
+++ b/packages/coordination/src/config/configStore.ts
@@ -120,7 +120,7 @@
     const next = head + 1n
     const res = await this.options.table.transact(this.writesFor(edit, current.value, next))
     if (!res.ok) return { type: 'retry', message: res.err.message, triedVersion: next }
-    if (res.value.type === 'conflict') return { type: 'retry', message: 'another change of the configuration was committed first' }
+    if (res.value.type === 'conflict') return { type: 'retry', message: 'the configuration changed meanwhile' }
     return { type: 'done', result: ok(next) }
   }
 
--- a/packages/coordination/src/dispatch/dispatcher.ts
+++ b/packages/coordination/src/dispatch/dispatcher.ts
@@ -52,7 +52,7 @@
       inFlight: this.inFlight,
       collectTimeoutMs,
       isOpen: ({ key }) => this.jobs.has(key),
-      onIncomplete: (job) => events.failed(job, REASONS.ownerLost, 'the entry that owned the job was lost, and the agents that could be reached do not know all of its tasks')
+      onIncomplete: (job) => events.failed(job, REASONS.ownerLost, 'the owner was lost and no agent reached knows all tasks')
     })
   }
 
@@ -220,7 +220,7 @@
 
   private failLostJob (job: Job, agent: AgentHandle): void {
     if (isFinished(job)) return
-    this.options.events.failed(job, REASONS.agentLost, `agent ${agent.agentId} was lost while it had a task of this job in flight`)
+    this.options.events.failed(job, REASONS.agentLost, `agent ${agent.agentId} was lost with a task in its hands`)
   }
 
   private setEndpoint (agent: AgentHandle, { service, slots, address, standingCredits }: EndpointState): void {
--- a/packages/coordination/src/dispatch/taskEndHandler.ts
+++ b/packages/coordination/src/dispatch/taskEndHandler.ts
@@ -81,7 +81,7 @@
   /** Handles a start that is certain not to have happened: the task may be sent to another agent. */
   onNotStarted (job: Job, index: number, reason: Reason): void {
     this.options.events.wasted(reason)
-    if (job.collecting !== undefined) return this.options.events.failed(job, REASONS.ownerLost, 'the entry that owned the job was lost, and a task of the job was never started')
+    if (job.collecting !== undefined) return this.options.events.failed(job, REASONS.ownerLost, 'a task never started')
     job.mayHaveRun--
     this.requeue(job, index)
   }
--- a/packages/coordination/src/handoff/handedOnJobs.ts
+++ b/packages/coordination/src/handoff/handedOnJobs.ts
@@ -58,7 +58,7 @@
 const UNFINISHED_REASONS: ReadonlySet<string> = new Set([REASONS.stopCut, REASONS.callerGone, REASONS.handOnLost])
 
 /** The end of a job that its caller may send again at once, as nothing of it runs. */
-const HAND_ON_LOST: LeasedJobEnd = { type: 'failed', reason: REASONS.handOnLost, message: 'the entry that the job was handed on to did not finish it; nothing of it runs any more' }
+const HAND_ON_LOST: LeasedJobEnd = { type: 'failed', reason: REASONS.handOnLost, message: 'the entry that it was handed to did not end it' }
 
 /** A job whose neighbour was lost; nothing of it runs after `terminatedAt`. */
 interface TerminatingJob {
--- a/packages/coordination/src/handoff/hostedJobs.ts
+++ b/packages/coordination/src/handoff/hostedJobs.ts
@@ -101,7 +101,7 @@
     // A timestamp later than this process's clock was not sent by this process and proves nothing.
     if (echoStampMs > peer.originEntry.aliveAt && echoStampMs > 0 && echoStampMs <= now) peer.originEntry.aliveAt = echoStampMs
     for (const offer of offers) this.onOffer(peer, offer, now)
-    for (const offer of withdrawals) this.cancel(peer.jobs.get(offer), REASONS.callerGone, 'the origin entry withdrew the job')
+    for (const offer of withdrawals) this.cancel(peer.jobs.get(offer), REASONS.callerGone, 'the job was withdrawn')
   }
 
   /** Adds the present timestamp and load report to a frame that is about to be sent. */
@@ -175,7 +175,7 @@
     const running = [...jobs.values()].filter(({ end }) => end === undefined)
     if (running.length === 0) return
     this.options.events.originEntryLost(entryId, Math.round(this.options.clock.now() - originEntry.aliveAt), running.length)
-    for (const job of running) this.cancel(job, REASONS.handOnLost, 'the origin entry, which has the caller, timed out or closed its stream')
+    for (const job of running) this.cancel(job, REASONS.handOnLost, 'the entry that keeps the caller fell silent')
   }
 
   private cancel (job: LeasedJob | undefined, reason: Reason, message: string): void {
--- a/packages/coordination/src/jobs/admission.ts
+++ b/packages/coordination/src/jobs/admission.ts
@@ -98,7 +98,7 @@
   }
 
   private decide (config: WorkspaceConfig, spec: JobSpec, deadlineMs: number): PolicyDecision | Refusal {
-    if (config.compiled === undefined) return refuseNotRun(REASONS.policyFailed, 'the workspace\'s policy does not compile at this entry')
+    if (config.compiled === undefined) return refuseNotRun(REASONS.policyFailed, 'the workspace\'s policy does not compile here')
     const { dispatcher } = this.options
     const workspace = config.record.name
     const usage = {
@@ -138,7 +138,7 @@
     const queuedTasks = service.queue.queuedTasks(workspace) + spec.tasks.length
     const minMs = Math.ceil(queuedTasks / slots - 1) * service.health.meanMs
     if (minMs <= deadlineMs) return undefined
-    const message = `${queuedTasks} tasks of the workspace on ${slots} slots take about ${Math.round(minMs)} ms, longer than the deadline allows`
+    const message = `${queuedTasks} tasks on ${slots} slots take about ${Math.round(minMs)} ms`
     return refuseNotRun(REASONS.deadlineUnreachable, message, Math.round(minMs - deadlineMs))
   }
 
@@ -150,13 +150,13 @@
     const limit = this.limits.get(workspace)?.queued ?? 0
     const queued = dispatcher.queuedTasks(workspace) + this.reservedOf(workspace) + tasks
     if (limit === 0 || queued <= this.shareOfThisEntry(limit)) return undefined
-    return refuseNotRun(REASONS.workspaceQueueFull, 'the workspace has too many tasks queued at this entry', QUEUE_RETRY_MS)
+    return refuseNotRun(REASONS.workspaceQueueFull, 'the workspace has too many tasks queued', QUEUE_RETRY_MS)
   }
 
   private checkRate (workspace: string, tasks: number): Refusal | undefined {
     const bucket = this.buckets.get(workspace)!
     const waitMs = bucket.waitMs()
-    if (waitMs > 0) return refuseNotRun(REASONS.workspaceRate, 'the workspace submits tasks faster than its rate limit', waitMs)
+    if (waitMs > 0) return refuseNotRun(REASONS.workspaceRate, 'the workspace submits too fast', waitMs)
     bucket.take(tasks)
     return undefined
   }
--- a/packages/coordination/src/jobs/claimFollower.ts
+++ b/packages/coordination/src/jobs/claimFollower.ts
@@ -62,7 +62,7 @@
       if (step !== undefined) return step
       const { workspace, submission } = claim.record
       const res = await this.options.claims.read(workspace, submission)
-      if (!res.ok) return ownerUnreachable(`the claim cannot be read from the table service: ${res.err.message}`, this.options.staleAfterMs)
+      if (!res.ok) return ownerUnreachable(`the table does not answer: ${res.err.message}`, this.options.staleAfterMs)
       if (res.value === undefined) return { type: 'absent' }
       current = res.value
     }
@@ -70,7 +70,7 @@
 
   private async step (claim: Claim, until: number): Promise<FollowStep | undefined> {
     const stored = await this.options.claims.answerOf(claim)
-    if (!stored.ok) return ownerUnreachable(`the answer that the claim names cannot be read: ${stored.err.message}`, this.options.staleAfterMs)
+    if (!stored.ok) return ownerUnreachable(`the answer cannot be read: ${stored.err.message}`, this.options.staleAfterMs)
     if (stored.value !== undefined) return { type: 'reply', reply: { type: 'answer', answer: stored.value } }
     const { ownerEntry, ownerIncarnation } = claim.record
     if (ownerIncarnation === this.options.incarnation) return this.ownStep(claim)
@@ -113,7 +113,7 @@
     const { clock, directory, staleAfterMs } = this.options
     const { ownerEntry, ownerIncarnation } = claim.record
     if (directory.isStale(ownerEntry, ownerIncarnation)) return { type: 'lost', claim }
-    if (clock.now() >= until) return ownerUnreachable(`entry ${ownerEntry}, which owns the job, does not answer`, staleAfterMs)
+    if (clock.now() >= until) return ownerUnreachable(`entry ${ownerEntry} does not answer`, staleAfterMs)
     await clock.sleep(UNREACHABLE_RETRY_MS)
     return undefined
   }
--- a/packages/coordination/src/jobs/jobService.ts
+++ b/packages/coordination/src/jobs/jobService.ts
@@ -56,7 +56,7 @@
 const FRESH_READ_SHARE = 0.75
 
 const unsavedReply: JobReply = refuse(REASONS.answerUnsaved,
-  'the job has finished, but its final state is not saved yet; ask again', RUN_STATES.mayHaveRun, UNSAVED_RETRY_MS)
+  'the job is over, but its final state is not saved yet; ask again', RUN_STATES.mayHaveRun, UNSAVED_RETRY_MS)
 
 /**
  * Submits, finds and cancels jobs for callers, whichever entry owns the jobs.
@@ -155,7 +155,7 @@
 
   private checkAdmission (config: WorkspaceConfig, spec: JobSpec, deadlineMs: number): ReturnType<Admission['check']> {
     if (this.stopping) return refuse(REASONS.stopping, 'this entry is stopping', RUN_STATES.notRun, STORE_RETRY_MS)
-    if (!this.options.mayClaim()) return refuse(REASONS.notReady, 'this entry is not known to all other entries yet', RUN_STATES.notRun, STORE_RETRY_MS)
+    if (!this.options.mayClaim()) return refuse(REASONS.notReady, 'this entry is not known to the others yet', RUN_STATES.notRun, STORE_RETRY_MS)
     if (!this.options.isStoreUp()) return refuse(REASONS.storeDown, 'the table service does not answer', RUN_STATES.notRun, STORE_RETRY_MS)
     return this.options.admission.check(config, spec, deadlineMs)
   }
