--- a/packages/lab/src/bound.ts
+++ b/packages/lab/src/bound.ts
@@ -1,7 +1,7 @@
 import { fits } from '@hazellift/decisions'
 import type { Resources } from '@hazellift/decisions'
 import { EventClock } from './eventClock.js'
-import { createCounts, computeFigures } from './figures.js'
+import { computeFigures, createCounts } from './figures.js'
 import type { Figures, Outcome } from './figures.js'
 import type { Scenario } from './scenario.js'
 import { drawTraffic } from './traffic.js'
@@ -14,12 +14,13 @@
 
 interface WaitingJob {
   arrival: Arrival
-  /** Tasks not begun, longest first. */
+  /** Indexes of the tasks that are not started, longest first. */
   unstarted: number[]
+  /** Number of tasks that have not ended. */
   unfinished: number
 }
 
-/** Way of the request and of its answer. */
+/** Network delay of the request and of its answer. */
 const CLIENT_ROUND_TRIP_MS = 2
 
 const createEndpoints = ({ endpoints: { count, cpuMilli, memoryMb, sizes, speeds } }: Scenario): IdealEndpoint[] =>
@@ -34,24 +35,25 @@
 
 const workOf = ({ arrival: { job } }: WaitingJob): number => job.tasks.reduce((sum, { runMs, need }) => sum + runMs * need.cpuMilli, 0)
 
-/** Each is the best one under some load. */
+/** Queue orders; each is the best one under some load. */
 const JOB_ORDERS: JobOrder[] = [
   (a, b) => dueAt(a) - a.arrival.job.longestRunMs - dueAt(b) + b.arrival.job.longestRunMs,
   (a, b) => a.arrival.job.kind.priority - b.arrival.job.kind.priority || dueAt(a) - dueAt(b),
-  // What each millisecond of an endpoint earns.
+  // Highest weight per unit of work first.
   (a, b) => b.arrival.job.weight / workOf(b) - a.arrival.job.weight / workOf(a)
 ]
 
 /**
- * Plays the same load with one queue that knows every run time and all room at
- * once, without any way or fault: what is left of a figure below it is due to
- * information that comes late, to faults, or to the decisions.
+ * Runs the same load with one central queue that knows every run time and all free
+ * capacity, without network delays inside the system and without faults. The gap between
+ * a figure and this reference is due to delayed information, faults, or the decisions.
  *
- * It is greedy, by the best of three orders: jobs that cannot be in time any more
- * by their true run time are refused. A better plan may exist.
+ * The schedule is greedy, with the best of three orders, and refuses a job once its actual
+ * run time no longer fits its objective. A better schedule may exist.
  *
- * @param scenario - its troubles change the traffic only
- * @param seed - as for a run
+ * @param scenario - only those of its troubles that change the traffic apply
+ * @param seed - the same seed gives the same traffic as for `runScenario`
+ * @returns the figures of the order with the highest `worth`
  */
 export const runBound = async (scenario: Scenario, seed: number): Promise<Figures> => {
   const results: Figures[] = []
@@ -68,24 +70,24 @@
   const finishJob = ({ arrival }: WaitingJob, how: Outcome['end']): void => {
     outcomes.push({ arrival, end: how, responseMs: clock.now() - arrival.at + CLIENT_ROUND_TRIP_MS, hadFreeCapacity: false })
   }
-  const startTask = (waiting: WaitingJob, place: IdealEndpoint): void => {
+  const startTask = (waiting: WaitingJob, endpoint: IdealEndpoint): void => {
     const { need, runMs, fails } = waiting.arrival.job.tasks[waiting.unstarted.shift()!]!
-    place.free.cpuMilli -= need.cpuMilli
-    place.free.memoryMb -= need.memoryMb
-    // One that fails runs again at once.
-    clock.after(runMs / place.speed * (fails ? 2 : 1), () => {
-      place.free.cpuMilli += need.cpuMilli
-      place.free.memoryMb += need.memoryMb
+    endpoint.free.cpuMilli -= need.cpuMilli
+    endpoint.free.memoryMb -= need.memoryMb
+    // A task that fails is retried once, at once and at the same endpoint.
+    clock.after(runMs / endpoint.speed * (fails ? 2 : 1), () => {
+      endpoint.free.cpuMilli += need.cpuMilli
+      endpoint.free.memoryMb += need.memoryMb
       if (--waiting.unfinished === 0) finishJob(waiting, waiting.arrival.job.tasks.every((task) => task.fails) ? 'failed' : 'complete')
       dispatch()
     })
   }
   const canBeInTime = (waiting: WaitingJob, speed: number): boolean =>
     clock.now() + waiting.arrival.job.tasks[waiting.unstarted[0]!]!.runMs / speed <= dueAt(waiting)
-  const fastest = Math.max(...endpoints.map(({ speed }) => speed))
+  const fastestSpeed = Math.max(...endpoints.map(({ speed }) => speed))
   const dispatch = (): void => {
     queue = queue.filter((waiting) => {
-      const isLate = waiting.unstarted.length === waiting.arrival.job.tasks.length && !canBeInTime(waiting, fastest)
+      const isLate = waiting.unstarted.length === waiting.arrival.job.tasks.length && !canBeInTime(waiting, fastestSpeed)
       if (isLate) finishJob(waiting, 'refused')
       return !isLate
     })
@@ -93,18 +95,18 @@
     for (const waiting of queue) {
       while (waiting.unstarted.length > 0) {
         const { need } = waiting.arrival.job.tasks[waiting.unstarted[0]!]!
-        const free = endpoints.filter((place) => fits(need, place.free))
+        const free = endpoints.filter((endpoint) => fits(need, endpoint.free))
         if (free.length === 0) break
-        startTask(waiting, free.reduce((best, place) => place.speed > best.speed ? place : best))
+        startTask(waiting, free.reduce((best, endpoint) => endpoint.speed > best.speed ? endpoint : best))
       }
     }
-    queue = queue.filter(({ unstarted: left }) => left.length > 0)
+    queue = queue.filter(({ unstarted }) => unstarted.length > 0)
   }
 
   for (const arrival of drawTraffic(scenario, seed)) {
-    const left = [...arrival.job.tasks.keys()].sort((a, b) => arrival.job.tasks[b]!.runMs - arrival.job.tasks[a]!.runMs)
+    const unstarted = [...arrival.job.tasks.keys()].sort((a, b) => arrival.job.tasks[b]!.runMs - arrival.job.tasks[a]!.runMs)
     clock.after(arrival.at, () => {
-      queue.push({ arrival, unstarted: left, unfinished: left.length })
+      queue.push({ arrival, unstarted, unfinished: unstarted.length })
       dispatch()
     })
   }
--- a/packages/lab/src/labEndpoint.ts
+++ b/packages/lab/src/labEndpoint.ts
@@ -4,28 +4,29 @@
 import type { Resources } from '@hazellift/decisions'
 import { REASONS } from '@hazellift/protocol'
 
-/** What a task does once it runs. */
+/** What a task does when it runs. */
 export interface SimulatedTask {
-  /** Run time at an endpoint of usual speed, in ms. */
+  /** Run time at an endpoint of speed 1, in ms. */
   runMs: number
   fails: boolean
   need: Resources
 }
 
-/** What the world knows of runs, over all endpoints. */
+/** Gives endpoints the tasks to run, and is notified of the runs of all endpoints. */
 export interface RunObserver {
   taskOf: (run: RunRef) => SimulatedTask
   onStarted: (run: RunRef) => void
   onEnded: (run: RunRef, how: RunEnd, ranMs: number) => void
+  /** The runs of an endpoint need more than its capacity. */
   onOverCapacity: () => void
 }
 
 interface Run extends RunRef {
   task: SimulatedTask
   startedAt: number
-  /** Work left, as run time at an endpoint of usual speed. */
+  /** Remaining run time at an endpoint of speed 1, as of `updatedAt`. */
   remainingMs: number
-  /** When `leftMs` was worked out. */
+  /** When `remainingMs` was last computed. */
   updatedAt: number
   cancel: () => void
 }
@@ -35,16 +36,18 @@
   cancel: () => void
 }
 
-/** Orders that get no answer are carried out after a time between these. */
+/** Starts and stops that get no answer are carried out after a delay in this range. */
 const LATE_ORDER_DELAY_MS = { from: 2000, to: 12_000 }
 
-/** One life of an endpoint. */
+/** One incarnation of a simulated endpoint, which runs tasks under a run lease. */
 export class LabEndpoint {
-  /** Orders without an answer. */
+  /** Share of the orders that get no answer. */
   lostOrderShare = 0
+  /** If true, every run fails when it ends. */
   isFailing = false
   isUp = true
   private readonly runs = new Map<string, Run>()
+  /** Highest ended run number of each task; it and lower ones cannot start again. */
   private readonly endedRuns = new Map<string, number>()
   private ends: ListedEnd[] = []
   private pendingPolls: PendingPoll[] = []
@@ -54,11 +57,11 @@
   private slowdown = 1
 
   /**
-   * @param clock - the world's
-   * @param capacity - what it offers
-   * @param speed - against usual run times; 1 is usual, 2 twice as fast
-   * @param random - decides on lost orders
-   * @param observer - told of every run
+   * @param clock - clock of the simulation
+   * @param capacity - what its runs may use together
+   * @param speed - divides run times: 2 is twice as fast as 1
+   * @param random - selects the orders that get no answer
+   * @param observer - gives the tasks and is notified of every run
    */
   constructor (
     private readonly clock: Clock,
@@ -68,7 +71,7 @@
     private readonly observer: RunObserver
   ) {}
 
-  /** What is not used. */
+  /** Capacity that no run uses. */
   get free (): Resources {
     const free = { ...this.capacity }
     for (const { task: { need } } of this.runs.values()) {
@@ -78,30 +81,33 @@
     return free
   }
 
-  /** From now on runs take so many times as long; Infinity for standing still. */
+  /** Makes runs take this many times as long from now on; Infinity stops their progress. */
   setSlowdown (slowdown: number): void {
     for (const run of this.runs.values()) this.updateRemaining(run)
     this.slowdown = slowdown
     for (const run of this.runs.values()) this.schedule(run)
   }
 
-  /** It is gone, and with it all that ran there. */
+  /** Ends the endpoint and all its runs; it answers nothing afterwards. */
   crash (): void {
     this.isUp = false
     for (const run of [...this.runs.values()]) this.finish(run, RUN_ENDS.lapsed)
   }
 
+  /** Starts a run and renews the run lease; `sentAt` is when the order was sent. */
   start (order: StartOrder, sentAt: number, answer: (outcome: StartOutcome) => void): void {
     this.handleOrder(() => this.onStart(order, sentAt), answer)
   }
 
+  /** Stops a run, and prevents its start if it has not begun. */
   stop (run: RunRef, answer: (isStopped: boolean) => void): void {
     this.handleOrder(() => this.onStop(run), answer)
   }
 
-  poll ({ runLeaseMs: holdMs, lastSeen, waitMs }: PollRequest, sentAt: number, answer: (outcome: PollOutcome) => void): void {
+  /** Lists the runs, at once if some have ended and else after `waitMs`; renews the run lease if the request carries one. */
+  poll ({ runLeaseMs, lastSeen, waitMs }: PollRequest, sentAt: number, answer: (outcome: PollOutcome) => void): void {
     if (!this.isUp || this.random() < this.lostOrderShare) return
-    if (holdMs !== undefined) this.renewLease(sentAt + holdMs)
+    if (runLeaseMs !== undefined) this.renewLease(sentAt + runLeaseMs)
     this.ends = this.ends.filter(({ seq }) => seq > lastSeen)
     if (waitMs === 0 || this.ends.length > 0) return answer(this.listRuns())
     const pending: PendingPoll = { answer, cancel: this.clock.after(waitMs, () => this.answerPoll(pending)) }
@@ -125,15 +131,15 @@
     return { type: 'listed', running: [...this.runs.values()].map(({ submission, index, run }) => ({ submission, index, run })), ended: [...this.ends] }
   }
 
-  private onStart ({ submission, index, run, runLeaseMs: holdMs }: StartOrder, sentAt: number): StartOutcome {
+  private onStart ({ submission, index, run, runLeaseMs }: StartOrder, sentAt: number): StartOutcome {
     const name = `${submission}.${index}`
     const now = this.clock.now()
     if (run <= (this.endedRuns.get(name) ?? 0)) return { type: 'number_used' }
-    if (sentAt + holdMs <= now) return { type: 'refused', reason: REASONS.endpointBusy }
-    this.renewLease(sentAt + holdMs)
+    if (sentAt + runLeaseMs <= now) return { type: 'refused', reason: REASONS.endpointBusy }
+    this.renewLease(sentAt + runLeaseMs)
     if (this.runs.has(name)) return { type: 'started' }
     const task = this.observer.taskOf({ submission, index, run })
-    const started: Run = { submission, index, run, task: task, startedAt: now, remainingMs: task.runMs, updatedAt: now, cancel: () => {} }
+    const started: Run = { submission, index, run, task, startedAt: now, remainingMs: task.runMs, updatedAt: now, cancel: () => {} }
     this.runs.set(name, started)
     this.observer.onStarted(started)
     if (this.free.cpuMilli < 0 || this.free.memoryMb < 0) this.observer.onOverCapacity()
--- a/packages/lab/src/plot.ts
+++ b/packages/lab/src/plot.ts
@@ -5,19 +5,19 @@
 const HEIGHT = 360
 
 const meanAt = (results: WorkResult[], second: number): number | null => {
-  const values = results.map(({ inTimeBySecond: seconds }) => seconds[second]).filter((value) => typeof value === 'number')
+  const values = results.map(({ inTimeBySecond }) => inTimeBySecond[second]).filter((value) => typeof value === 'number')
   return values.length === 0 ? null : Number((values.reduce((sum, value) => sum + value, 0) / values.length).toFixed(4))
 }
 
 /**
- * Share of answers in time by second of arrival, a line a variant.
+ * Plots the share of jobs in time by second of arrival, with one line for each variant.
  *
- * @param title - above the plot
- * @param series - results of each variant
+ * @param title - title of the plot
+ * @param series - results, grouped by variant
  * @returns an SVG document
  */
 export const plotInTime = (title: string, series: WorkResult[][]): string => {
-  const length = Math.max(...series.flatMap((results) => results.map(({ inTimeBySecond: seconds }) => seconds.length)))
+  const length = Math.max(...series.flatMap((results) => results.map(({ inTimeBySecond }) => inTimeBySecond.length)))
   const seconds = Array.from({ length }, (_, second) => second)
   const chart = echarts.init(null, null, { renderer: 'svg', ssr: true, width: WIDTH, height: HEIGHT })
   chart.setOption({
