--- a/packages/store/src/groupCommit.test.ts
+++ b/packages/store/src/groupCommit.test.ts
@@ -8,11 +8,11 @@
 const bytes = (text: string) => Buffer.from(text)
 
 /** A table in memory whose transactions follow a script, then apply. */
-const createFakeTable = (steps: Step[], initial: Record<string, string> = {}) => {
+const createScriptedTable = (steps: Step[], initial: Record<string, string> = {}) => {
   let version = 1n
   const rows = new Map<string, TableRow>(
     Object.entries(initial).map(([key, value]) => [key, { key, version, value: bytes(value) }]))
-  const sizes: number[] = []
+  const batchSizes: number[] = []
   const apply = (writes: TableWrite[]) => {
     const current = writes.map(({ key }) => rows.get(key) ?? { key, version: 0n, value: bytes('') })
     const conflicts = current.filter((row, i) => row.version !== writes[i]!.ifVersion)
@@ -28,7 +28,7 @@
     read: async () => ok([]),
     scan: async () => ok([]),
     transact: async (writes) => {
-      sizes.push(writes.length)
+      batchSizes.push(writes.length)
       const step = steps.shift() ?? 'apply'
       if (step === 'refuse') return fail({ type: 'refused', message: 'down' })
       if (step === 'hang') return fail({ type: 'unknown', message: 'timeout' })
@@ -36,11 +36,11 @@
       return step === 'loseAck' ? fail({ type: 'unknown', message: 'lost' }) : res
     }
   }
-  return { table, rows, sizes }
+  return { table, rows, batchSizes }
 }
 
 const setUp = (steps: Step[], initial?: Record<string, string>) => {
-  const fake = createFakeTable(steps, initial)
+  const fake = createScriptedTable(steps, initial)
   const group = new GroupCommit({ table: fake.table, clock: systemClock, intervalMs: 0, maxRows: 3, backoff: () => 1 })
   return { ...fake, group }
 }
@@ -55,10 +55,10 @@
     { name: 'reports a rival after a timeout', steps: ['hang'], initial: { a: 'rival' }, expected: 'conflict' }
   ]
   test.each(cases)('$name', async ({ steps, initial, expected }) => {
-    const { group, sizes } = setUp(steps, initial)
+    const { group, batchSizes } = setUp(steps, initial)
     const outcome = await group.commit({ key: 'a', ifVersion: 0n, value: bytes('mine') }, systemClock.now() + 10_000)
     expect(outcome.type).toBe(expected)
-    expect(sizes.length).toBeGreaterThan(0)
+    expect(batchSizes.length).toBeGreaterThan(0)
   })
 
   test.each([
@@ -73,11 +73,11 @@
   })
 
   test('carries waiting writes together, and a rival stops only its own key', async () => {
-    const { group, sizes, rows } = setUp([], { b: 'rival' })
+    const { group, batchSizes, rows } = setUp([], { b: 'rival' })
     const outcomes = await Promise.all(['a', 'b', 'c', 'd'].map((key) =>
       group.commit({ key, ifVersion: 0n, value: bytes(`mine ${key}`) }, systemClock.now() + 10_000)))
     expect(outcomes.map(({ type }) => type)).toEqual(['committed', 'conflict', 'committed', 'committed'])
-    expect(Math.max(...sizes)).toBe(3)
+    expect(Math.max(...batchSizes)).toBe(3)
     expect([...rows.keys()].sort()).toEqual(['a', 'b', 'c', 'd'])
   })
 
