--- a/packages/agent/src/endpoint/announcedEndpoint.ts
+++ b/packages/agent/src/endpoint/announcedEndpoint.ts
@@ -7,21 +7,23 @@
 import { createEndpointCaller } from './createEndpointCaller.js'
 import type { EndpointCaller } from './createEndpointCaller.js'
 
-/** What the announced endpoint needs. */
+/** Dependencies and limits of the announced endpoint. */
 export interface AnnouncedEndpointOptions {
   clock: Clock
+  /** Returns the task host that is notified of the endpoint. */
   host: () => Pick<TaskHost, 'setEndpoint'>
+  /** Time without an announcement after which the endpoint is removed, in ms. */
   announcementTimeoutMs: number
   maxAnswerBytes: number
 }
 
-/** Result of an announcement. */
+/** Result of an announcement; `other_endpoint` if an endpoint at another address is already announced. */
 export type AnnounceOutcome = 'accepted' | 'other_endpoint'
 
 const log = createLogger('agent:endpoint')
 const endpointGone: AttemptEnd = { outcome: TASK_OUTCOMES.notStarted, reason: REASONS.endpointGone, body: '' }
 
-/** The one endpoint beside this agent, known from its announcements alone. */
+/** The single endpoint of this agent, known only from its announcements. */
 export class AnnouncedEndpoint {
   private current: Announcement | undefined
   private caller: EndpointCaller | undefined
@@ -34,7 +36,7 @@
     return this.current !== undefined
   }
 
-  /** The endpoint announced itself, for the first time or again. */
+  /** Handles an announcement of the endpoint, the first or a repeated one. */
   announce (announcement: Announcement): AnnounceOutcome {
     const { clock, announcementTimeoutMs, host, maxAnswerBytes } = this.options
     if (this.current !== undefined && this.current.address !== announcement.address) return 'other_endpoint'
@@ -51,7 +53,7 @@
     return 'accepted'
   }
 
-  /** The endpoint withdrew, or was silent for too long. */
+  /** Removes the endpoint after it withdrew, or sent no announcement in time. */
   remove (reason: 'withdrew' | 'silent'): void {
     if (this.current === undefined) return
     log('endpoint_left', { reason, service: this.current.service, address: this.current.address })
@@ -62,7 +64,7 @@
     this.options.host().setEndpoint(undefined)
   }
 
-  /** Calls the endpoint. */
+  /** Runs an attempt at the endpoint; the attempt ends as not started if none is announced. */
   run: RunAttempt = (start, endpoint, signal) =>
     this.caller === undefined ? Promise.resolve(endpointGone) : this.caller.run(start, endpoint, signal)
 }
--- a/packages/agent/src/endpoint/createEndpointCaller.ts
+++ b/packages/agent/src/endpoint/createEndpointCaller.ts
@@ -5,7 +5,7 @@
 import type { Reason, Start, TaskOutcome } from '@hazellift/protocol'
 import { Pool } from 'undici'
 
-/** Errors raised before a byte of the request was sent: the task was not started. */
+/** Errors that occur before any byte of the request is sent, so that the task was not started. */
 const NOT_SENT_CODES = new Set(['ECONNREFUSED', 'UND_ERR_CONNECT_TIMEOUT', 'EHOSTUNREACH', 'ENETUNREACH', 'EADDRNOTAVAIL'])
 const CONNECT_TIMEOUT_MS = 1000
 const MAX_ERROR_BODY_CHARS = 500
@@ -19,7 +19,7 @@
   return attemptEnd(TASK_OUTCOMES.failed, REASONS.endpointReset, errorMessage(err))
 }
 
-/** Reads the answer up to its bound. */
+/** Reads an answer; one that is larger than `maxBytes` or not UTF-8 is a failed attempt. */
 const readAnswer = async (body: AsyncIterable<Buffer>, maxBytes: number): Promise<AttemptEnd> => {
   const chunks: Buffer[] = []
   let size = 0
@@ -36,32 +36,32 @@
   }
 }
 
-/** Bounds of calls to the endpoint. */
+/** Limits of calls to the endpoint. */
 export interface EndpointCallerOptions {
   connections: number
   maxAnswerBytes: number
 }
 
-/** Calls one endpoint. */
+/** Client of one endpoint. */
 export interface EndpointCaller {
   run: RunAttempt
   close: () => void
 }
 
 /**
- * Calls an endpoint over HTTP: `POST /run` with the payload as body; status
- * 200 with the answer as body is success, any other status a failed attempt.
- * A request is never sent twice by the client itself.
+ * Creates a client that runs tasks at an endpoint over HTTP, with `POST /run` and
+ * the payload as body. Status 200 means success, with the answer as body; any other
+ * status is a failed attempt. The client never retries a request.
  *
  * @param address - base URL of the endpoint
- * @param options - bounds of calls
+ * @param options - limits of calls
  */
 export const createEndpointCaller = (address: string, options: EndpointCallerOptions): EndpointCaller => {
   const pool = new Pool(address, {
     connections: options.connections,
     pipelining: 1,
     connect: { timeout: CONNECT_TIMEOUT_MS },
-    // The lease bounds the attempt.
+    // The lease limits the duration of an attempt.
     headersTimeout: 0,
     bodyTimeout: 0
   })
--- a/packages/agent/src/http/createAgentServer.ts
+++ b/packages/agent/src/http/createAgentServer.ts
@@ -9,7 +9,7 @@
 import type { Registry } from 'prom-client'
 import type { AnnouncedEndpoint } from '../endpoint/announcedEndpoint.js'
 
-/** What the agent's server needs. */
+/** Dependencies of the agent's HTTP server. */
 export interface AgentServerOptions {
   endpoint: AnnouncedEndpoint
   registry: Registry
@@ -36,7 +36,7 @@
 
 const isHttpUrl = (text: string): boolean => URL.canParse(text) && new URL(text).protocol === 'http:'
 
-/** What is wrong with an announcement, if anything. */
+/** Returns what is wrong with an announcement; undefined if it is valid. */
 export const checkAnnouncement = ({ service, address, slots, connections }: Announcement): string | undefined => {
   if (!/^[a-z0-9][a-z0-9._-]{0,62}$/.test(service)) return 'service must be 1 to 63 lower-case letters, digits or ._-'
   if (!isHttpUrl(address)) return `address '${address}' is not an http:// URL`
@@ -65,17 +65,19 @@
 }
 
 /**
- * The server for the endpoint beside the agent, and for operators: `PUT
- * /endpoint` announces (and is the heartbeat), `DELETE /endpoint` withdraws.
+ * Creates the HTTP server for the agent's endpoint and for operators. The endpoint
+ * announces itself with `PUT /endpoint`, repeated as a heartbeat, and withdraws with
+ * `DELETE /endpoint`. Operators use `/healthz`, `/readyz` and `/metrics`.
  *
  * @param options - endpoint, metrics and readiness
+ * @returns the server, not yet listening
  */
 export const createAgentServer = ({ endpoint, registry, isReady, waitUntilIdle }: AgentServerOptions): Server => {
   const router = createRouter({ defaultRoute: (_req, res) => send(res as never, 404, 'no such path') })
   router.on('PUT', '/endpoint', (req, res) => announce(endpoint, req as never, res as never))
   router.on('DELETE', '/endpoint', async (_req, res) => {
     endpoint.remove('withdrew')
-    // The endpoint may end once it has this answer: no request of ours is under way to it then.
+    // The endpoint may exit once it receives this answer, so no request to it may be in flight by then.
     await waitUntilIdle()
     send(res as never, 200, 'withdrawn')
   })
--- a/packages/agent/src/index.ts
+++ b/packages/agent/src/index.ts
@@ -1,2 +1,2 @@
-/** The agent, for programs that embed it. */
+/** Starts an agent inside another program. */
 export * from './startAgent.js'
--- a/packages/agent/src/main.ts
+++ b/packages/agent/src/main.ts
@@ -6,7 +6,7 @@
 import { Command } from 'commander'
 import { startAgent } from './startAgent.js'
 
-/** Faults that span settings. */
+/** Finds faults that involve several settings. */
 const check = ({ sessionTimeoutMs, keepAliveMs, memoryMs, startAgeMs }: AgentSettings): SettingFault[] => [
   ...(sessionTimeoutMs > 2 * keepAliveMs ? [] : [{ setting: '--session-timeout-ms', message: 'must be more than twice --keep-alive-ms' }]),
   ...(memoryMs > 2 * startAgeMs ? [] : [{ setting: '--memory-ms', message: 'must be more than twice --start-age-ms' }])
--- a/packages/agent/src/startAgent.ts
+++ b/packages/agent/src/startAgent.ts
@@ -12,16 +12,17 @@
 
 /** A running agent. */
 export interface RunningAgent {
+  /** Host and port on which its HTTP server listens. */
   address: string
-  /** Stops gracefully: what runs is finished and its results are delivered. */
+  /** Stops gracefully: running tasks finish and their results are delivered. */
   stop: () => Promise<void>
-  /** Ends a graceful stop early; gives the tasks that are cut. */
+  /** Ends a graceful stop early by aborting running tasks; returns them as `workspace/submission/task`. */
   cut: () => string[]
 }
 
 const DRAIN_CHECK_INTERVAL_MS = 20
 const SWEEP_INTERVAL_MS = 5000
-/** Longest wait for entries to acknowledge the last results. */
+/** Longest wait for entries to acknowledge the last results, in ms. */
 const FINAL_ACK_TIMEOUT_MS = 2000
 
 const log = createLogger('agent')
@@ -53,7 +54,7 @@
   return { host, endpoint }
 }
 
-/** Slots are granted by each entry by itself, so that an agent holds a session with every one. */
+/** Creates the dialer. Slots are granted to each entry separately, so the agent keeps a session with every entry. */
 const createDialer = (settings: AgentSettings, host: TaskHost): EntryDialer => {
   const { agentId, zone, clusterToken, keepAliveMs, sessionTimeoutMs: timeoutMs, seeds } = settings
   const times = { keepAliveMs, timeoutMs }
@@ -75,16 +76,17 @@
 }
 
 const drain = async (host: TaskHost): Promise<void> => {
-  // A start that is under way while this agent ends would be lost with it.
+  // Waits until all entries know that this agent leaves: a start still in flight when it exits would be lost.
   while (host.busy > 0 || !host.isLeft) await systemClock.sleep(DRAIN_CHECK_INTERVAL_MS)
   const until = systemClock.now() + FINAL_ACK_TIMEOUT_MS
   while (host.unacked > 0 && systemClock.now() < until) await systemClock.sleep(DRAIN_CHECK_INTERVAL_MS)
 }
 
 /**
- * Starts an agent.
+ * Starts an agent: its HTTP server, and sessions with all entries.
  *
  * @param settings - checked settings
+ * @returns the agent, once its server listens
  */
 export const startAgent = async (settings: AgentSettings): Promise<RunningAgent> => {
   const metrics = createMetrics()
--- a/packages/common/src/backoff.ts
+++ b/packages/common/src/backoff.ts
@@ -1,17 +1,18 @@
 import type { Random } from './random.js'
 
-/** Bounds of an exponential backoff, in ms. */
+/** First and longest delay of an exponential backoff, in ms. */
 export interface BackoffOptions {
   baseMs: number
   maxMs: number
 }
 
 /**
- * Full-jitter exponential backoff.
+ * Exponential backoff with equal jitter: each delay lies between half of the
+ * exponential delay and the whole of it.
  *
- * @param options - first and longest delay
+ * @param options - first and longest delay before jitter
  * @param random - source of the jitter
- * @returns a function from the number of failures so far (1 and up) to a delay in ms
+ * @returns a function from the number of failures so far (at least 1) to a delay in ms
  */
 export const createBackoff = ({ baseMs, maxMs }: BackoffOptions, random: Random) =>
   (failures: number): number => {
--- a/packages/common/src/clock.ts
+++ b/packages/common/src/clock.ts
@@ -1,15 +1,15 @@
 import { uptime } from 'node:os'
 import { setTimeout as delay } from 'node:timers/promises'
 
-/** Time as the coordination parts see it; tests pass their own. */
+/** The clocks and timers that coordination code uses; tests replace them. */
 export interface Clock {
-  /** Monotonic ms; it goes on while the process is paused, and stands still while the whole system is suspended. */
+  /** Steady (monotonic) clock in ms. It advances while the process is paused, but not while the whole system is suspended. */
   now: () => number
-  /** Wall clock in ms since 1970, for records that other processes read. */
+  /** Wall clock in ms since the Unix epoch, for records that other processes read. */
   wallNow: () => number
-  /** Ms since the system's start, suspended time included, coarse; undefined where that cannot be told. */
+  /** Ms since the system booted, including suspended time, in coarse steps; undefined where it cannot be read. */
   bootNow?: () => number | undefined
-  /** Runs `fn` once after `ms`; the result cancels it. */
+  /** Runs `fn` once after `ms`; the returned function cancels it. */
   after: (ms: number, fn: () => void) => () => void
   /** Resolves after `ms`. */
   sleep: (ms: number) => Promise<void>
@@ -23,7 +23,7 @@
   }
 }
 
-/** The machine's clock. Its timers do not keep a process alive. */
+/** The clocks and timers of the machine. Timers set with `after` do not keep the process alive. */
 export const systemClock: Clock = {
   now: () => performance.now(),
   wallNow: () => Date.now(),
--- a/packages/common/src/createLogger.ts
+++ b/packages/common/src/createLogger.ts
@@ -6,15 +6,15 @@
 /** Writes one line for an event. */
 export type Logger = (event: string, fields?: Record<string, LogValue>) => void
 
-/** Takes finished lines, each without its newline. */
+/** Receives formatted lines, each without its newline. */
 export type LogSink = (line: string) => void
 
 const sinkState: { write: LogSink } = { write: (line) => { process.stderr.write(`${line}\n`) } }
 
 /**
- * Sends all log lines elsewhere; they go to standard error at first.
+ * Redirects all log lines, which go to standard error by default.
  *
- * @param sink - must not block
+ * @param sink - receives each line; must not block
  */
 export const setLogSink = (sink: LogSink): void => { sinkState.write = sink }
 
@@ -26,10 +26,10 @@
 }
 
 /**
- * One line of key=value pairs.
+ * Formats an event as a line of key=value pairs.
  *
- * @param event - name of what happened
- * @param fields - its facts; undefined ones are left out
+ * @param event - name of the event
+ * @param fields - its details; undefined values are omitted
  */
 export const formatLogLine = (event: string, fields: Record<string, LogValue> = {}): string => {
   const pairs = Object.entries(fields).flatMap(([key, value]) =>
@@ -38,9 +38,9 @@
 }
 
 /**
- * A logger of key=value lines through `debug`.
+ * Creates a logger that writes key=value lines through `debug`.
  *
- * @param namespace - the part of the program, below `hazellift:`
+ * @param namespace - the part of the program, without the prefix `hazellift:`
  */
 export const createLogger = (namespace: string): Logger => {
   const fullNamespace = `hazellift:${namespace}`
@@ -48,14 +48,14 @@
   debug.log = (line: string) => sinkState.write(line)
   return (event, fields) => {
     if (!debug.enabled) return
-    // A fixed prefix instead of debug's own keeps the line pure key=value on terminals too.
+    // A fixed prefix instead of debug's own keeps lines in key=value format on terminals too.
     debug.log(`time=${new Date().toISOString()} ns=${fullNamespace} ${formatLogLine(event, fields)}`)
   }
 }
 
 /**
- * Chooses what is logged.
+ * Sets which namespaces are logged.
  *
- * @param namespaces - in debug's syntax, empty for nothing
+ * @param namespaces - pattern in the syntax of `debug`; empty disables logging
  */
 export const enableLogs = (namespaces: string): void => createDebug.enable(namespaces)
--- a/packages/common/src/createMetrics.ts
+++ b/packages/common/src/createMetrics.ts
@@ -1,13 +1,13 @@
 import { Counter, Gauge, Histogram, Registry, collectDefaultMetrics } from 'prom-client'
 
-/** Describes one metric; names carry their unit and labels have few values. */
+/** Describes one metric. Its name ends with the unit, and each label has few distinct values. */
 interface MetricOptions {
   name: string
   help: string
   labels?: readonly string[]
 }
 
-/** Makes metrics of one registry. */
+/** A registry and the functions that create metrics in it. */
 export interface Metrics {
   registry: Registry
   counter: (options: MetricOptions) => Counter
@@ -16,15 +16,15 @@
   histogram: (options: MetricOptions & { buckets: readonly number[] }) => Histogram
 }
 
-/** Bounds in seconds that suit queue and run times of sub-second tasks. */
+/** Histogram buckets, in seconds, for queue and run times of sub-second tasks. */
 export const TIME_BUCKETS_SECONDS = [0.001, 0.005, 0.01, 0.05, 0.1, 0.25, 0.5, 1, 2, 5, 10, 30] as const
 
 /**
- * A registry with the process's own metrics.
+ * Creates a registry, by default with the metrics of the Node.js process.
  *
- * @param options - `ofProcess: false` leaves the process's own out: their
+ * @param options - `includeProcess: false` omits the process metrics, whose
  *   sampling wakes the process a hundred times a second
- * @returns makers of further metrics
+ * @returns the registry and functions that add metrics to it
  */
 export const createMetrics = ({ includeProcess = true }: { includeProcess?: boolean } = {}): Metrics => {
   const registry = new Registry()
--- a/packages/common/src/errors.ts
+++ b/packages/common/src/errors.ts
@@ -1,7 +1,7 @@
 /**
- * Text of anything thrown, without its stack.
+ * Returns the message of a thrown value and its causes, without a stack trace.
  *
- * @param err - what was caught
+ * @param err - the caught value
  */
 export const errorMessage = (err: unknown): string => {
   if (!(err instanceof Error)) return String(err)
@@ -10,9 +10,10 @@
 }
 
 /**
- * The system error code (`ECONNREFUSED` and the like) of an error or its cause.
+ * Returns the error code (such as `ECONNREFUSED`) of an error or of its nearest cause that has one.
  *
- * @param err - what was caught
+ * @param err - the caught value
+ * @returns undefined if there is no code
  */
 export const errorCode = (err: unknown): string | undefined => {
   if (typeof err !== 'object' || err === null) return undefined
--- a/packages/common/src/index.ts
+++ b/packages/common/src/index.ts
@@ -1,4 +1,4 @@
-/** Settings, logs, metrics, errors, clock and backoff shared by all packages. */
+/** Settings, command line, logs, metrics, errors, clocks and backoff that all packages share. */
 export * from './assertNever.js'
 export * from './backoff.js'
 export * from './clock.js'
--- a/packages/common/src/loadSettings.ts
+++ b/packages/common/src/loadSettings.ts
@@ -5,7 +5,7 @@
 import type { Result } from './types.js'
 import { envName, flagName } from './settingFlags.js'
 
-/** What the schema says of one setting. */
+/** Options of one setting in the schema. */
 export interface SettingInfo {
   defaultValue: string
   unit: string
@@ -16,10 +16,10 @@
   secret: boolean
 }
 
-/** Reads a field's description from the schema. */
+/** Reads the options of a setting from its schema field. */
 export type DescribeSetting = (field: DescField) => SettingInfo
 
-/** One setting that is missing or out of bounds. */
+/** A setting that is missing or invalid, and why. */
 export interface SettingFault {
   setting: string
   message: string
@@ -55,11 +55,12 @@
 }
 
 /**
- * Adds a flag and an environment variable for every field of a settings message.
+ * Adds a flag and an environment variable for each field of a settings message.
  *
  * @param command - the command that takes the settings
  * @param schema - the settings message
- * @param describe - reads the schema's options
+ * @param describe - reads the options of a field
+ * @returns the command
  */
 export const addSettingOptions = (command: Command, schema: DescMessage, describe: DescribeSetting): Command => {
   for (const field of schema.fields) {
@@ -73,11 +74,12 @@
 }
 
 /**
- * Checks the values of flags and environment; all faults are named at once.
+ * Parses and checks the values of flags and environment variables.
  *
  * @param schema - the settings message
- * @param describe - reads the schema's options
- * @param values - commander's option values, by camelCase name
+ * @param describe - reads the options of a field
+ * @param values - option values from commander, by camelCase name
+ * @returns the settings, or the faults of all settings
  */
 export const loadSettings = <Desc extends DescMessage>(
   schema: Desc,
@@ -96,10 +98,10 @@
 }
 
 /**
- * One line a setting; secrets are masked.
+ * Formats settings as `NAME=value` lines; secrets are masked.
  *
  * @param schema - the settings message
- * @param describe - reads the schema's options
+ * @param describe - reads the options of a field
  * @param settings - checked settings
  */
 export const printSettings = (schema: DescMessage, describe: DescribeSetting, settings: object): string =>
--- a/packages/common/src/logToStdout.ts
+++ b/packages/common/src/logToStdout.ts
@@ -1,28 +1,28 @@
 import sonicBoom from 'sonic-boom'
 import { setLogSink } from './createLogger.js'
 
-/** Log lines on their way to standard output. */
+/** Buffered log output on standard output. */
 export interface LogOutput {
-  /** Lines dropped so far, as the reader did not keep up. */
+  /** Number of lines dropped because the reader did not keep up, and of failed writes. */
   dropped: () => number
-  /** Writes what is left, blocking; for the end of the process only. */
+  /** Writes all buffered lines and blocks meanwhile; only for use before the process exits. */
   flush: () => void
 }
 
-/** Lines are written together once there are so many bytes of them. */
+/** Buffered lines are written once they reach this size. */
 const MIN_WRITE_BYTES = 8192
-/** Longest time that a line waits for others, in ms. Only a line that waits sets a timer: a quiet process is not woken. */
+/** Longest time that a line stays in the buffer, in ms. The timer runs only while a line waits, so that an idle process is not woken. */
 const FLUSH_DELAY_MS = 250
-/** Lines beyond this many waiting bytes are dropped: a slow reader must not cost memory or time. */
+/** Lines beyond this many buffered bytes are dropped, so that a slow reader costs neither memory nor time. */
 const MAX_BUFFERED_BYTES = 1_048_576
 
-/** Sends all log lines to standard output through a bounded buffer; writing never blocks. */
+/** Redirects all log lines to standard output through a bounded buffer; logging never blocks. */
 export const logToStdout = (): LogOutput => {
   const output = new sonicBoom.SonicBoom({ fd: 1, sync: false, minLength: MIN_WRITE_BYTES, maxLength: MAX_BUFFERED_BYTES })
   let dropped = 0
   let flushTimer: NodeJS.Timeout | undefined
   output.on('drop', () => { dropped++ })
-  // Without a reader there is nobody to tell; the drops are counted.
+  // A write error, such as a closed pipe, cannot be logged anywhere, so it is only counted.
   output.on('error', () => { dropped++ })
   const flush = (): void => {
     flushTimer = undefined
--- a/packages/common/src/parseCommand.ts
+++ b/packages/common/src/parseCommand.ts
@@ -8,10 +8,10 @@
 }
 
 /**
- * Runs a program's command line; a wrong flag or argument ends it with the
- * code for usage.
+ * Parses the command line and runs the command. An invalid flag or argument
+ * sets the exit code for usage errors.
  *
- * @param program - with all its commands
+ * @param program - the root command with all its subcommands
  */
 export const parseCommand = async (program: Command): Promise<void> => {
   throwOnExit(program)
--- a/packages/common/src/random.ts
+++ b/packages/common/src/random.ts
@@ -5,7 +5,7 @@
 export type Random = () => number
 
 /**
- * A seeded source; the same seed gives the same numbers.
+ * Creates a seeded source; the same seed gives the same sequence.
  *
  * @param seed - any integer
  */
--- a/packages/common/src/runProgram.ts
+++ b/packages/common/src/runProgram.ts
@@ -4,33 +4,35 @@
 /** Exit codes of the programs. */
 export const EXIT_CODES = {
   ok: 0,
-  /** A request was refused, or a job failed. */
+  /** A request was refused or a job failed. */
   failed: 1,
-  /** A flag, setting or argument is wrong. */
+  /** A flag, setting or argument is invalid. */
   usage: 2,
   /** The server could not be reached. */
   unreachable: 3,
-  /** The program could not start or broke down. */
+  /** The program could not start, or failed later. */
   internal: 70,
-  /** A stop was cut before running work had ended. */
+  /** A graceful stop was ended early and running work was aborted. */
   cut: 75
 } as const
 
 /** A program that runs until it is stopped. */
 export interface Stoppable {
+  /** Stops gracefully; resolves once running work has ended. */
   stop: () => Promise<void>
-  /** Ends a graceful stop early; names what is cut. */
+  /** Ends a graceful stop early by aborting running work; returns what was aborted. */
   cut: () => string[]
 }
 
 const log = createLogger('program')
 
 /**
- * Stops a program on SIGTERM or SIGINT. A second signal, or the end of the
- * grace time, cuts what still runs, with a line for each thing cut.
+ * Stops a program gracefully on SIGTERM or SIGINT, and then exits. A second
+ * signal, or the end of the grace period, aborts what still runs and logs each
+ * aborted item.
  *
- * @param program - what runs
- * @param graceMs - longest graceful stop, in ms
+ * @param program - the running program
+ * @param graceMs - grace period in ms
  */
 export const runUntilSignal = (program: Stoppable, graceMs: number): void => {
   let stopping = false
--- a/packages/common/src/settingFlags.ts
+++ b/packages/common/src/settingFlags.ts
@@ -3,14 +3,14 @@
 const ENV_PREFIX = 'HAZELLIFT_'
 
 /**
- * The flag of a setting.
+ * Name of the command-line flag of a setting.
  *
  * @param field - field `foo_bar` gives `--foo-bar`
  */
 export const flagName = (field: DescField): string => `--${field.name.replaceAll('_', '-')}`
 
 /**
- * The environment variable of a setting.
+ * Name of the environment variable of a setting.
  *
  * @param field - field `foo_bar` gives `HAZELLIFT_FOO_BAR`
  */
--- a/packages/common/src/settingsCommand.ts
+++ b/packages/common/src/settingsCommand.ts
@@ -6,11 +6,11 @@
 import type { DescribeSetting, SettingFault } from './loadSettings.js'
 import { EXIT_CODES } from './runProgram.js'
 
-/** A program whose settings stand in a schema. */
+/** A program whose settings are described by a schema. */
 export interface SettingsCommand<Desc extends DescMessage> {
   schema: Desc
   describe: DescribeSetting
-  /** Faults that the schema cannot express. */
+  /** Finds faults that the schema cannot express, such as conflicts between settings. */
   check?: (settings: MessageShape<Desc>) => SettingFault[]
   start: (settings: MessageShape<Desc>) => Promise<void>
 }
@@ -21,11 +21,13 @@
 }
 
 /**
- * Gives a command the flags of its settings, and an action that checks them
- * all and then starts the program.
+ * Adds the settings of a program to a command, and an action that checks them
+ * and starts the program. Invalid settings exit with the code for usage errors,
+ * a failed start with the code for internal errors.
  *
- * @param command - the command
- * @param program - its settings and start
+ * @param command - the command to extend
+ * @param program - the program's settings and start function
+ * @returns the command
  */
 export const addSettingsCommand = <Desc extends DescMessage>(command: Command, program: SettingsCommand<Desc>): Command => {
   const { schema, describe, check, start } = program
--- a/packages/common/src/suspensionWatch.test.ts
+++ b/packages/common/src/suspensionWatch.test.ts
@@ -8,12 +8,12 @@
   boot?: number
 }
 
-/** Clocks that a test moves apart. */
+/** Clocks that a test advances by different amounts. */
 class FakeClocks {
   steady = 1000
   wall = 1_000_000
   boot: number | undefined = 5000
-  /** Passes between any two readings, as where the process is held up. */
+  /** Time that passes before each reading, as when the process is delayed. */
   msPerReading = 0
   readonly suspensions: Suspension[] = []
   readonly watch: SuspensionWatch
@@ -24,7 +24,7 @@
     this.watch.onSuspended((suspension) => this.suspensions.push(suspension))
   }
 
-  /** Moves the clocks on, each by its own amount, and looks. */
+  /** Advances each clock by its own amount, then checks. */
   advance ({ steady = 0, wall = 0, boot = 0 }: ClockChange): void {
     this.steady += steady
     this.wall += wall
@@ -48,42 +48,42 @@
   }
 }
 
-describe('a look at the clocks', () => {
+describe('SuspensionWatch', () => {
   const cases: Array<{ name: string, hasBoot?: boolean, changes: ClockChange[], expected: Suspension[] }> = [
-    { name: 'time that all of them count', changes: [{ steady: 3000, wall: 3000, boot: 3000 }], expected: [] },
-    { name: 'a suspension', changes: [{ steady: 40, wall: 3040, boot: 3040 }], expected: [{ gainedMs: 3000, steadyMs: 40, isCertain: true }] },
-    { name: 'a suspension, without the time since the start', hasBoot: false, changes: [{ steady: 40, wall: 3040 }], expected: [{ gainedMs: 3000, steadyMs: 40, isCertain: false }] },
-    { name: 'a suspension that the time since the start does not show', changes: [{ steady: 40, wall: 3040, boot: 40 }], expected: [{ gainedMs: 3000, steadyMs: 40, isCertain: false }] },
-    { name: 'a step ahead', changes: [{ steady: 40, wall: 3_600_040, boot: 40 }], expected: [{ gainedMs: 3_600_000, steadyMs: 40, isCertain: false }] },
-    { name: 'a step back', changes: [{ steady: 40, wall: -3_600_000, boot: 40 }], expected: [] },
-    { name: 'a step back, without the time since the start', hasBoot: false, changes: [{ steady: 40, wall: -3_600_000 }], expected: [] },
+    { name: 'nothing is reported if all clocks advance alike', changes: [{ steady: 3000, wall: 3000, boot: 3000 }], expected: [] },
+    { name: 'a suspension that the wall clock and the time since boot count is certain', changes: [{ steady: 40, wall: 3040, boot: 3040 }], expected: [{ gainedMs: 3000, steadyMs: 40, isCertain: true }] },
+    { name: 'a suspension is uncertain if the time since boot cannot be read', hasBoot: false, changes: [{ steady: 40, wall: 3040 }], expected: [{ gainedMs: 3000, steadyMs: 40, isCertain: false }] },
+    { name: 'a suspension is uncertain if the time since boot does not count it', changes: [{ steady: 40, wall: 3040, boot: 40 }], expected: [{ gainedMs: 3000, steadyMs: 40, isCertain: false }] },
+    { name: 'a forward step of the wall clock is reported as uncertain', changes: [{ steady: 40, wall: 3_600_040, boot: 40 }], expected: [{ gainedMs: 3_600_000, steadyMs: 40, isCertain: false }] },
+    { name: 'a backward step of the wall clock is not reported', changes: [{ steady: 40, wall: -3_600_000, boot: 40 }], expected: [] },
+    { name: 'a backward step is not reported if the time since boot cannot be read', hasBoot: false, changes: [{ steady: 40, wall: -3_600_000 }], expected: [] },
     {
-      name: 'a suspension behind a step back',
+      name: 'a suspension after a backward step is certain',
       changes: [{ steady: 40, wall: -3_600_000, boot: 40 }, { steady: 40, wall: 540, boot: 540 }],
       expected: [{ gainedMs: 500, steadyMs: 40, isCertain: true }]
     },
     {
-      name: 'a step back by less than the suspension meanwhile',
+      name: 'a suspension with a smaller backward step is certain',
       changes: [{ steady: 40, wall: 140, boot: 3040 }],
       expected: [{ gainedMs: 100, steadyMs: 40, isCertain: true }]
     },
     {
-      name: 'a step back by more than the suspension meanwhile',
+      name: 'a suspension with a larger backward step is certain',
       changes: [{ steady: 40, wall: -1960, boot: 3040 }],
       expected: [{ gainedMs: -2000, steadyMs: 40, isCertain: true }]
     },
     {
-      name: 'two suspensions',
+      name: 'each of two suspensions is reported',
       changes: [{ steady: 40, wall: 340, boot: 340 }, { steady: 40, wall: 340, boot: 340 }],
       expected: [{ gainedMs: 300, steadyMs: 40, isCertain: true }, { gainedMs: 300, steadyMs: 40, isCertain: true }]
     },
     {
-      name: 'a step ahead behind a suspension',
+      name: 'a forward step after a suspension is uncertain',
       changes: [{ steady: 40, wall: 340, boot: 340 }, { steady: 40, wall: 340, boot: 40 }],
       expected: [{ gainedMs: 300, steadyMs: 40, isCertain: true }, { gainedMs: 300, steadyMs: 40, isCertain: false }]
     },
-    { name: 'slow drift, look by look', changes: Array.from({ length: 1000 }, () => ({ steady: 100, wall: 105, boot: 100 })), expected: [] },
-    { name: 'coarse readings', changes: Array.from({ length: 100 }, (_, at) => ({ steady: 10, wall: at % 2 === 0 ? 0 : 20, boot: 10 })), expected: [] }
+    { name: 'slow drift does not add up over many checks', changes: Array.from({ length: 1000 }, () => ({ steady: 100, wall: 105, boot: 100 })), expected: [] },
+    { name: 'coarse readings of the wall clock are not reported', changes: Array.from({ length: 100 }, (_, index) => ({ steady: 10, wall: index % 2 === 0 ? 0 : 20, boot: 10 })), expected: [] }
   ]
   it.each(cases)('$name', ({ hasBoot, changes, expected }) => {
     const clocks = new FakeClocks(hasBoot)
@@ -91,7 +91,7 @@
     expect(clocks.suspensions).toEqual(expected)
   })
 
-  it('a process that is held up between all the readings is certain of nothing', () => {
+  it('delays between all readings are never reported as a certain suspension', () => {
     const clocks = new FakeClocks()
     for (const ms of [2, 500, 0, 100, 0]) {
       clocks.msPerReading = ms
@@ -100,12 +100,12 @@
     expect(clocks.suspensions.filter(({ isCertain }) => isCertain)).toEqual([])
   })
 
-  it.each([2, 3, 4, 5, 6, 7])('one that stands still once, at reading %i, notices nothing', (at) => {
+  it.each([2, 3, 4, 5, 6, 7])('a single delay at reading %i is not reported', (delayedReading) => {
     const clocks = new FakeClocks()
     let readings = 0
     const suspensions: Suspension[] = []
     const now = (): number => {
-      if (++readings === at) {
+      if (++readings === delayedReading) {
         clocks.steady += 700
         clocks.wall += 700
       }
--- a/packages/common/src/suspensionWatch.ts
+++ b/packages/common/src/suspensionWatch.ts
@@ -1,31 +1,32 @@
 import type { Clock } from './clock.js'
 
-/** A stretch of time that the steady clock may not have counted. */
+/** A period that the steady clock may not have counted. */
 export interface Suspension {
-  /** What the time of day has gained on the steady clock; below 0 if it was set back meanwhile. */
+  /** How much further the wall clock advanced than the steady clock, in ms; negative if it was also set back. */
   gainedMs: number
-  /** Steady time since the look before. */
+  /** Time since the previous check by the steady clock, in ms. */
   steadyMs: number
-  /** The time since the system's start has gained as well: no mere step of the time of day. */
+  /** True if the time since boot gained as well, which a step of the wall clock does not cause. */
   isCertain: boolean
 }
 
 /**
- * Differences up to this are the coarseness of the readings. Slewing a clock moves
- * the steady one alike; whatever is left does not add up, as each look begins anew.
+ * Differences up to this come from coarse clock readings. Slewing changes the steady
+ * clock alike, and other drift does not add up, as each check compares with the previous one.
  */
 const TOLERANCE_MS = 25
-/** The clocks are read again where the process was held up between the readings for longer than this. */
+/** The clocks are read again if the process was delayed for longer than this between the readings. */
 const MAX_READING_MS = 1
 const MAX_READINGS = 3
 
 /**
- * Finds out that the process may have been suspended, for which the steady clock
- * stands still and the time of day does not.
+ * Detects that the process may have been suspended: the steady clock stops during a
+ * suspension and the wall clock does not.
  *
- * A step of the time of day ahead looks the same: whoever listens must treat it as
- * a doubt, unless it is certain. A step back alone tells nothing. One that hides a
- * suspension, to within the tolerance, is not noticed.
+ * A forward step of the wall clock looks the same, so a listener must treat what rests
+ * on elapsed time as unverified, and as expired only if the suspension is certain. A
+ * backward step alone is not reported. A backward step that equals a suspension, to
+ * within the tolerance, hides it.
  */
 export class SuspensionWatch {
   private readonly listeners = new Set<(suspension: Suspension) => void>()
@@ -34,7 +35,7 @@
   private bootOffsetMs: number | undefined
 
   /**
-   * @param clock - the steady one, the time of day and, where there is one, the time since the system's start
+   * @param clock - the steady clock, the wall clock and, where available, the time since boot
    */
   constructor (private readonly clock: Pick<Clock, 'now' | 'wallNow' | 'bootNow'>) {
     const { steadyMs, offsetMs } = this.readClocks()
@@ -43,12 +44,12 @@
     this.bootOffsetMs = this.readBootOffset()
   }
 
-  /** Calls `fn` within the look that notices a suspension. */
+  /** Registers a listener; the check that detects a suspension calls it synchronously. */
   onSuspended (fn: (suspension: Suspension) => void): void {
     this.listeners.add(fn)
   }
 
-  /** Compares the clocks; to be called before whatever rests on elapsed time. */
+  /** Compares the clocks. Call it before any decision that rests on elapsed time. */
   check (): void {
     const { steadyMs, offsetMs } = this.readClocks()
     const gainedMs = offsetMs - this.wallOffsetMs
@@ -61,7 +62,7 @@
     for (const fn of this.listeners) fn({ gainedMs, steadyMs: elapsedMs, isCertain })
   }
 
-  /** Pauses between the readings would look like a gain, or hide one. */
+  /** Reads the clocks close together: a pause between the readings would look like a gain, or hide one. */
   private readClocks (): { steadyMs: number, offsetMs: number } {
     for (let readings = 1; ; readings++) {
       const before = this.clock.now()
@@ -71,7 +72,10 @@
     }
   }
 
-  /** Read only where the other clocks differ, as it costs a file; it can confirm a suspension, and never deny one. */
+  /**
+   * Whether the time since boot gained on the steady clock. It is read only when the other
+   * clocks differ, as each reading reads a file. It can confirm a suspension but not rule one out.
+   */
   private hasBootClockGained (): boolean {
     const before = this.bootOffsetMs
     this.bootOffsetMs = this.readBootOffset()
--- a/packages/store/src/createHttpCaller.ts
+++ b/packages/store/src/createHttpCaller.ts
@@ -4,36 +4,38 @@
 import type { StoreFault } from './errors.js'
 import type { StoreObserver } from './types.js'
 
-/** What the HTTP adapters need. */
+/** Options of the HTTP clients. */
 export interface HttpStoreOptions {
   /** Base URL of the platform. */
   url: string
-  /** Longest wait for a call, in ms. */
+  /** Time limit of a call, in ms. */
   timeoutMs: number
+  /** Size of the connection pool. */
   connections?: number
   observe?: StoreObserver
 }
 
 /** One HTTP request to the platform. */
 export interface HttpCall {
+  /** Name of the call, reported to the observer. */
   name: string
   method: 'GET' | 'POST' | 'PUT' | 'DELETE'
   path: string
   body?: string | Uint8Array
-  /** Longest wait for this call, in ms; unset for the caller's. */
+  /** Time limit of this call, in ms; defaults to the one in `HttpStoreOptions`. */
   timeoutMs?: number
-  /** Statuses from 400 on that are answers of this call, not faults. */
+  /** Statuses of 400 and above that are answers rather than faults; 404 always is one. */
   acceptedStatuses?: readonly number[]
 }
 
-/** Status and body of a response that the platform gave on purpose. */
+/** Status and body of a response that is not a fault. */
 export interface HttpReply {
   status: number
   body: Uint8Array
 }
 
 const DEFAULT_CONNECTIONS = 16
-/** Errors raised before a byte of the request was sent. */
+/** Errors that occur before any byte of the request is sent. */
 const NOT_SENT_CODES = new Set(['ECONNREFUSED', 'UND_ERR_CONNECT_TIMEOUT', 'EHOSTUNREACH', 'ENETUNREACH'])
 const REFUSED_STATUSES = new Set([429, 503])
 
@@ -49,13 +51,13 @@
   return fail({ type: reply.status < 500 ? 'invalid' : 'unknown', message })
 }
 
-/** Sends requests to the platform, each within the time limit. */
+/** Sends a request to the platform, within the time limit. */
 export type HttpCaller = (call: HttpCall) => Promise<Result<HttpReply, StoreFault>>
 
 /**
- * A caller over a pool of connections.
+ * Creates a caller with its own connection pool.
  *
- * @param options - where, how long, and who is told
+ * @param options - base URL, time limit, pool size and observer
  */
 export const createHttpCaller = (options: HttpStoreOptions): HttpCaller => {
   const pool = new Pool(options.url, {
--- a/packages/store/src/createHttpObjects.ts
+++ b/packages/store/src/createHttpObjects.ts
@@ -6,7 +6,7 @@
 const pathOf = (name: string): string => `/v1/objects/${name.split('/').map(encodeURIComponent).join('/')}`
 
 /**
- * The object store over HTTP: PUT, GET and DELETE by name.
+ * Client of the object store over HTTP: PUT, GET and DELETE by name.
  *
  * @param options - base URL, time limit and observer
  */
--- a/packages/store/src/createHttpTable.ts
+++ b/packages/store/src/createHttpTable.ts
@@ -21,7 +21,7 @@
   : { type: 'conflict', rows: res.conflicts.map(toTableRow) }
 
 /**
- * The table service over its HTTP protocol.
+ * Client of the table service over its HTTP protocol.
  *
  * @param options - base URL, time limit and observer
  */
--- a/packages/store/src/errors.ts
+++ b/packages/store/src/errors.ts
@@ -1,11 +1,11 @@
-/** Faults of a call to the platform. */
+/** Reasons why a call to the platform failed. */
 export type StoreFault =
-  /** The call was turned away; nothing took effect. */
+  /** The call was refused or never sent; nothing took effect. */
   | { type: 'refused', message: string }
-  /** The call may or may not have taken effect: a timeout, a reset or a lost acknowledgement. */
+  /** The call may have taken effect: it timed out, was reset, or its acknowledgement was lost. */
   | { type: 'unknown', message: string }
-  /** The platform says that the call itself is wrong; repeating it is of no use. */
+  /** The platform rejected the call as invalid; a retry would be rejected too. */
   | { type: 'invalid', message: string }
 
-/** A refusal of which it is certain that nothing took effect. */
+/** Whether it is certain that a failed call took no effect. */
 export const hadNoEffect = (fault: StoreFault): boolean => fault.type !== 'unknown'
--- a/packages/store/src/groupCommit.test.ts
+++ b/packages/store/src/groupCommit.test.ts
@@ -7,7 +7,7 @@
 
 const bytes = (text: string) => Buffer.from(text)
 
-/** A table in memory whose transactions follow a script, then apply. */
+/** An in-memory table whose transactions follow the given steps, and are applied after the last one. */
 const createScriptedTable = (steps: Step[], initial: Record<string, string> = {}) => {
   let version = 1n
   const rows = new Map<string, TableRow>(
@@ -47,12 +47,12 @@
 
 describe('GroupCommit', () => {
   const cases: { name: string, steps: Step[], initial?: Record<string, string>, expected: string }[] = [
-    { name: 'commits', steps: [], expected: 'committed' },
-    { name: 'tries again after a refusal', steps: ['refuse', 'refuse'], expected: 'committed' },
-    { name: 'finds its own write behind a lost acknowledgement', steps: ['loseAck'], expected: 'committed' },
-    { name: 'finds its own write behind two faults', steps: ['loseAck', 'hang', 'refuse'], expected: 'committed' },
-    { name: 'reports a rival', steps: [], initial: { a: 'rival' }, expected: 'conflict' },
-    { name: 'reports a rival after a timeout', steps: ['hang'], initial: { a: 'rival' }, expected: 'conflict' }
+    { name: 'a write is committed if the row has the expected version', steps: [], expected: 'committed' },
+    { name: 'a write is retried after refusals', steps: ['refuse', 'refuse'], expected: 'committed' },
+    { name: 'a write is committed if only its acknowledgement was lost', steps: ['loseAck'], expected: 'committed' },
+    { name: 'a write is committed if retries fail after a lost acknowledgement', steps: ['loseAck', 'hang', 'refuse'], expected: 'committed' },
+    { name: 'a row written by another process is a conflict', steps: [], initial: { a: 'rival' }, expected: 'conflict' },
+    { name: 'a row written by another process is a conflict after a timeout', steps: ['hang'], initial: { a: 'rival' }, expected: 'conflict' }
   ]
   test.each(cases)('$name', async ({ steps, initial, expected }) => {
     const { group, batchSizes } = setUp(steps, initial)
@@ -65,14 +65,14 @@
     { steps: Array<Step>(500).fill('refuse'), certain: true },
     { steps: Array<Step>(500).fill('hang'), certain: false },
     { steps: ['hang', ...Array<Step>(500).fill('refuse')] as Step[], certain: false }
-  ])('an expired write is certain ($certain) only if no sending is in doubt', async ({ steps, certain }) => {
+  ])('an expired write is certain ($certain) only if no attempt is in doubt', async ({ steps, certain }) => {
     const { group } = setUp(steps)
     const outcome = await group.commit({ key: 'a', ifVersion: 0n, value: bytes('mine') }, systemClock.now() + 20)
     expect(outcome).toMatchObject({ type: 'expired', certain })
     expect(group.isUp).toBe(false)
   })
 
-  test('carries waiting writes together, and a rival stops only its own key', async () => {
+  test('waiting writes share transactions, and a conflict affects only its own key', async () => {
     const { group, batchSizes, rows } = setUp([], { b: 'rival' })
     const outcomes = await Promise.all(['a', 'b', 'c', 'd'].map((key) =>
       group.commit({ key, ifVersion: 0n, value: bytes(`mine ${key}`) }, systemClock.now() + 10_000)))
@@ -81,7 +81,7 @@
     expect([...rows.keys()].sort()).toEqual(['a', 'b', 'c', 'd'])
   })
 
-  test('a removal whose acknowledgement was lost counts as committed', async () => {
+  test('a removal is committed if only its acknowledgement was lost', async () => {
     const { group } = setUp(['loseAck'], { a: 'old' })
     const outcome = await group.commit({ key: 'a', ifVersion: 1n, value: undefined }, systemClock.now() + 10_000)
     expect(outcome.type).toBe('committed')
--- a/packages/store/src/groupCommit.ts
+++ b/packages/store/src/groupCommit.ts
@@ -2,23 +2,23 @@
 import type { StoreFault } from './errors.js'
 import type { TableRow, TableService, TableWrite } from './types.js'
 
-/** What became of one write. */
+/** Outcome of one write. */
 export type CommitOutcome =
   | { type: 'committed', version: bigint }
-  /** The row had another version; nothing of this write took effect. */
+  /** The row had another version; the write took no effect. */
   | { type: 'conflict', row: TableRow }
-  /** The deadline passed first. The write may still take effect; `certain` says it never will. */
+  /** The deadline passed first. If `certain`, the write never takes effect; otherwise it may still do so. */
   | { type: 'expired', certain: boolean, message: string }
 
-/** Bounds of the writes that one process makes. */
+/** Table and limits of a group commit. */
 export interface GroupCommitOptions {
   table: TableService
   clock: Clock
-  /** Least time between the starts of two transactions, in ms. */
+  /** Minimum time between the starts of two transactions, in ms. */
   intervalMs: number
-  /** Most writes of one transaction. */
+  /** Maximum number of writes in one transaction. */
   maxRows: number
-  /** Delay before a failed transaction is sent again, by the number of failures. */
+  /** Delay in ms before a failed transaction is sent again, given the number of failures in a row. */
   backoff: (failures: number) => number
 }
 
@@ -33,10 +33,11 @@
 const sameBytes = (a: Uint8Array, b: Uint8Array | undefined): boolean =>
   b !== undefined && Buffer.compare(a, b) === 0
 
-/** The row shows the state that the write asked for, so an earlier sending of it took effect. */
+/** Whether the row has the state that the write asked for, so that an earlier attempt took effect. */
 const isApplied = ({ value }: TableWrite, row: TableRow): boolean =>
   value === undefined ? row.version === 0n : row.version !== 0n && sameBytes(row.value, value)
 
+/** Takes writes from the queue in order, at most one for each key. */
 const takeBatch = (queue: PendingWrite[], maxRows: number): PendingWrite[] => {
   const keys = new Set<string>()
   const batch: PendingWrite[] = []
@@ -50,14 +51,14 @@
   return batch
 }
 
-/** One lost acknowledgement is no outage; this many failures in a row are. */
+/** A single lost acknowledgement is not an outage; this many failures in a row are. */
 const DOWN_AFTER_FAILURES = 3
 
 /**
- * Group commit: all waiting writes travel in one transaction, with one in
- * flight. A transaction whose outcome is unknown is sent again unchanged: its
- * conditions make the second sending harmless, and a conflict with one's own
- * value proves that the first took effect.
+ * Group commit: waiting writes are sent together in one transaction, one
+ * transaction at a time. Writes whose outcome is unknown are sent again unchanged:
+ * their version conditions make a retry harmless, and a conflict with a row that
+ * has the written value proves that an earlier attempt took effect.
  */
 export class GroupCommit {
   private readonly queue: PendingWrite[] = []
@@ -70,9 +71,10 @@
   /**
    * Writes a row.
    *
-   * @param write - its value must differ from every other write's (a nonce),
-   *   as that is how a lost acknowledgement is told from a rival's write
-   * @param deadline - on the clock given, when to give up
+   * @param write - its value must be unique among all writes (contain a nonce): this
+   *   distinguishes a lost acknowledgement from the write of another process
+   * @param deadline - time on the given clock after which the write expires
+   * @returns the outcome; never rejects
    */
   commit (write: TableWrite, deadline: number): Promise<CommitOutcome> {
     return new Promise((resolve) => {
@@ -81,12 +83,12 @@
     })
   }
 
-  /** Writes that wait or are in flight. */
+  /** Number of writes that wait or are in flight. */
   get size (): number {
     return this.queue.length + this.inFlight
   }
 
-  /** False from the third failure of a transaction in a row to the next success. */
+  /** False from the third failed transaction in a row until the next success. */
   get isUp (): boolean {
     return this.failures < DOWN_AFTER_FAILURES
   }
--- a/packages/store/src/index.ts
+++ b/packages/store/src/index.ts
@@ -1,4 +1,4 @@
-/** Typed clients of the platform's table service and object store. */
+/** Clients of the platform's table service and object store, and group commit. */
 export * from './createHttpCaller.js'
 export * from './createHttpObjects.js'
 export * from './createHttpTable.js'
--- a/packages/store/src/types.ts
+++ b/packages/store/src/types.ts
@@ -1,14 +1,14 @@
 import type { Result } from '@hazellift/common'
 import type { StoreFault } from './errors.js'
 
-/** A row as the table holds it. `version` is 0n where there is none. */
+/** A row of the table. `version` is 0n if the row does not exist. */
 export interface TableRow {
   key: string
   version: bigint
   value: Uint8Array
 }
 
-/** One write of a transaction, carried out if the row still has `ifVersion` (0n: no row). */
+/** One write of a transaction, applied only if the row has version `ifVersion` (0n: the row does not exist). */
 export interface TableWrite {
   key: string
   ifVersion: bigint
@@ -16,31 +16,31 @@
   value: Uint8Array | undefined
 }
 
-/** All writes took effect, or none did and the rows that differ are given. */
+/** Outcome of a transaction: all writes took effect, or none did and `rows` has those with other versions. */
 export type TransactOutcome =
   | { type: 'committed', version: bigint }
   | { type: 'conflict', rows: TableRow[] }
 
 /**
- * The transactional table service. A deployment maps its own service in by
+ * The transactional table service. A deployment can use another service by
  * implementing these three calls; see `docs/OPERATORS.md`.
  */
 export interface TableService {
-  /** Reads rows by key; missing ones are left out. */
+  /** Reads rows by key; missing rows are omitted. */
   read: (keys: string[]) => Promise<Result<TableRow[], StoreFault>>
-  /** Reads up to `limit` rows with the prefix, in key order, after the key `after`. */
+  /** Reads up to `limit` rows whose keys begin with `prefix` and follow `after`, in key order. */
   scan: (prefix: string, after: string, limit: number) => Promise<Result<TableRow[], StoreFault>>
-  /** Carries out all writes or none. */
+  /** Applies all writes or none. */
   transact: (writes: TableWrite[]) => Promise<Result<TransactOutcome, StoreFault>>
 }
 
-/** The object store. */
+/** The object store: values by name. */
 export interface ObjectStore {
   put: (name: string, value: Uint8Array) => Promise<Result<void, StoreFault>>
-  /** `undefined` if there is no such object. */
+  /** Resolves to `undefined` if the object does not exist. */
   get: (name: string) => Promise<Result<Uint8Array | undefined, StoreFault>>
   delete: (name: string) => Promise<Result<void, StoreFault>>
 }
 
-/** Told of every call, for metrics. */
+/** Called after each call to the platform, for metrics; `ms` is its duration. */
 export type StoreObserver = (call: string, outcome: 'ok' | StoreFault['type'], ms: number) => void
