--- a/packages/common/src/createMetrics.ts
+++ b/packages/common/src/createMetrics.ts
@@ -1,6 +1,6 @@
 import { Counter, Gauge, Histogram, Registry, collectDefaultMetrics } from 'prom-client'
 
-/** Describes one metric. Its name ends with the unit, and each label has few distinct values. */
+/** Describes one metric. Its name contains the unit, and each label has few distinct values. */
 interface MetricOptions {
   name: string
   help: string
--- a/packages/common/src/suspensionWatch.ts
+++ b/packages/common/src/suspensionWatch.ts
@@ -23,10 +23,9 @@
  * Detects that the process may have been suspended: the steady clock stops during a
  * suspension and the wall clock does not.
  *
- * A forward step of the wall clock looks the same, so a listener must treat what rests
- * on elapsed time as unverified, and as expired only if the suspension is certain. A
- * backward step alone is not reported. A backward step that equals a suspension, to
- * within the tolerance, hides it.
+ * A forward step of the wall clock looks the same, so unless `isCertain` is set, a
+ * listener can only regard what rests on elapsed time as unverified. A backward step
+ * alone is not reported. One that equals a suspension, to within the tolerance, hides it.
  */
 export class SuspensionWatch {
   private readonly listeners = new Set<(suspension: Suspension) => void>()
--- a/packages/store/src/groupCommit.ts
+++ b/packages/store/src/groupCommit.ts
@@ -74,7 +74,7 @@
    * @param write - its value must be unique among all writes (contain a nonce): this
    *   distinguishes a lost acknowledgement from the write of another process
    * @param deadline - time on the given clock after which the write expires
-   * @returns the outcome; never rejects
+   * @returns how the write ended
    */
   commit (write: TableWrite, deadline: number): Promise<CommitOutcome> {
     return new Promise((resolve) => {
