--- a/packages/agent/src/startAgent.ts
+++ b/packages/agent/src/startAgent.ts
@@ -5,7 +5,7 @@
 import { TaskHost } from '@hazellift/coordination'
 import { ALL_ENTRIES } from '@hazellift/decisions'
 import type { AgentSettings, TaskResult } from '@hazellift/protocol'
-import { EntryDialer, Pulse, dialEntry } from '@hazellift/sessions'
+import { EntryDialer, KeepAliveMonitor, dialEntry } from '@hazellift/sessions'
 import { ulid } from 'ulid'
 import { AnnouncedEndpoint } from './endpoint/announcedEndpoint.js'
 import { createAgentServer } from './http/createAgentServer.js'
@@ -48,7 +48,7 @@
     startAgeMs: settings.startAgeMs,
     memoryMs: settings.memoryMs,
     maxAnswerSize: settings.answerMemoryBytes,
-    observe: createObserver(metrics)
+    onResult: createObserver(metrics)
   })
   metrics.gauge({ name: 'hazellift_agent_busy_tasks', help: 'Tasks that run or wait' }, (gauge) => gauge.set(host.busy))
   return { host, endpoint }
@@ -58,7 +58,7 @@
 const createDialer = (settings: AgentSettings, host: TaskHost): EntryDialer => {
   const { agentId, zone, clusterToken, keepAliveMs, sessionTimeoutMs: timeoutMs, seeds } = settings
   const times = { keepAliveMs, timeoutMs }
-  const options = { host, agentId, incarnation: ulid(), zone, clusterToken, pulse: new Pulse({ busy: times, idle: times }) }
+  const options = { host, agentId, incarnation: ulid(), zone, clusterToken, keepAliveMonitor: new KeepAliveMonitor({ busy: times, idle: times }) }
   return new EntryDialer({
     clock: systemClock,
     random: Math.random,
@@ -66,7 +66,7 @@
     score: (address) => rendezvousScore(agentId, address),
     limits: ALL_ENTRIES,
     seeds,
-    seedPaceMs: 0,
+    seedIntervalMs: 0,
     dial: (address, handle) => dialEntry(address, options, handle)
   })
 }
@@ -77,7 +77,7 @@
 
 const drain = async (host: TaskHost): Promise<void> => {
   // Waits until all entries know that this agent leaves: a start still in flight when it exits would be lost.
-  while (host.busy > 0 || !host.isLeft) await systemClock.sleep(DRAIN_CHECK_INTERVAL_MS)
+  while (host.busy > 0 || !host.isLeavingKnown) await systemClock.sleep(DRAIN_CHECK_INTERVAL_MS)
   const until = systemClock.now() + FINAL_ACK_TIMEOUT_MS
   while (host.unacked > 0 && systemClock.now() < until) await systemClock.sleep(DRAIN_CHECK_INTERVAL_MS)
 }
--- a/packages/coordination/src/leased/leasedSessions.ts
+++ b/packages/coordination/src/leased/leasedSessions.ts
@@ -125,7 +125,7 @@
     this.options.events.agentChanged(agent, 'session_closed')
   }
 
-  stamp (agent: LeasedAgent, frame: EntryFrame): void {
+  fillFrame (agent: LeasedAgent, frame: EntryFrame): void {
     const { fleet, clock } = this.options
     this.watch.check()
     frame.echoStampMs = fleet.echoLimits.stampToEcho(agent, clock.now())
--- a/packages/entry/src/createEntryParts.ts
+++ b/packages/entry/src/createEntryParts.ts
@@ -69,7 +69,7 @@
 const createDispatchEvents = (metrics: EntryMetrics, owned: () => OwnedJobs): DispatchEvents => ({
   complete: (job) => owned().complete(job),
   failed: (job, reason, message) => owned().fail(job, reason, message),
-  takenOver: (job) => owned().moved(job),
+  takenOver: (job) => owned().onMoved(job),
   started: (_job, waitedMs) => metrics.queueSeconds.observe(waitedMs / 1000),
   ended: (_job, { outcome, reason, runMs }) => {
     metrics.attempts.inc({ outcome, reason })
@@ -89,8 +89,8 @@
   maxRunningOf: (workspace) => admission().maxRunningOf(workspace),
   resumeWindowMs: settings.resumeWindowMs,
   collectTimeoutMs: COLLECT_TIMEOUT_MS,
-  setAsideShare: settings.setAsideShare,
-  setAsideBackoff: createBackoff(SET_ASIDE_BACKOFF, Math.random),
+  maxEjectedShare: settings.setAsideShare,
+  ejectionBackoff: createBackoff(SET_ASIDE_BACKOFF, Math.random),
   isEvacuated: (zone) => watch().isEvacuated(zone),
   defer: queueMicrotask
 })
@@ -103,7 +103,7 @@
   claims,
   dispatcher,
   saveTimeoutMs: SAVE_TIMEOUT_MS,
-  observe: (job, { state, reason, run }) => {
+  onAnswer: (job, { state, reason, run }) => {
     metrics.jobs.inc({ state, reason })
     log('job_over', { workspace: job.workspace, job: job.id, state, reason, run, ms: Math.round(systemClock.now() - job.arrivedAt) })
   }
@@ -130,7 +130,7 @@
   const metrics = createEntryMetrics(base)
   const stores = createStores(settings, metrics)
   const { table, objects, group, configStore } = stores
-  const watch = createWatch(settings, configStore, () => dispatcher.pumpAll())
+  const watch = createWatch(settings, configStore, () => dispatcher.scheduleAll())
   const directory = new EntryDirectory({
     table,
     group,
@@ -138,7 +138,7 @@
     self: () => ({ entryId, incarnation, apiAddress: addresses.api, sessionAddress: addresses.session }),
     heartbeatMs: settings.heartbeatMs,
     staleAfterMs: settings.staleAfterMs,
-    rowMemoryMs: settings.answerWindowMs,
+    rowRetentionMs: settings.answerWindowMs,
     configVersion: () => watch.version,
     onChange: onEntries
   })
@@ -150,7 +150,7 @@
   const admission = new Admission({
     clock: systemClock,
     dispatcher,
-    find: (name) => watch.find(name),
+    findConfig: (name) => watch.find(name),
     entryCount: () => directory.serving.length,
     maxQueued: settings.maxQueued
   })
@@ -212,7 +212,7 @@
   const base = createMetrics()
   const peers = new PeerClients(settings.clusterToken)
   const core = createCore(settings, identity, base, () => {
-    sessions.spreadEntries()
+    sessions.broadcastEntries()
     peers.keepOnly(new Set(core.directory.live.map(({ sessionAddress }) => sessionAddress)))
   })
   const { directory, dispatcher, watch, owned, claims, metrics, configStore } = core
@@ -225,10 +225,10 @@
     },
     entryId: identity.entryId,
     incarnation: identity.incarnation,
-    pulse: { busy: times, idle: times },
+    keepAlive: { busy: times, idle: times },
     entries: () => directory.serving.map(({ sessionAddress }) => ({ address: sessionAddress, zone: '' }))
   })
-  const announcement = new EntryAnnouncement({ clock, directory, introduce: peers.introduce, seenAfterMs: settings.staleAfterMs })
+  const announcement = new EntryAnnouncement({ clock, directory, introduce: peers.introduce, visibleAfterMs: settings.staleAfterMs })
   const jobs = createJobService(settings, identity, core, peers, announcement)
   const readiness = new Readiness({ clock, watch, dispatcher, directory, announcement, peers, warmUpMs: settings.heartbeatMs * WARM_UP_HEARTBEATS })
   const view = createView(identity, core, peers, readiness)
--- a/packages/entry/src/http/authenticate.ts
+++ b/packages/entry/src/http/authenticate.ts
@@ -72,6 +72,6 @@
     const mayDo = needs === TOKEN_ROLES.caller || role === TOKEN_ROLES.operator
     return mayDo ? ok({ caller: { isAdmin: false, role }, config }) : fail(notRunError(REASONS.forbidden, `a token with the role ${needs} is needed`))
   }
-  const isElsewhere = watch.names.some((name) => roleIn(watch.find(name)!, hash) !== undefined)
+  const isElsewhere = watch.workspaceNames.some((name) => roleIn(watch.find(name)!, hash) !== undefined)
   return fail(isElsewhere || admin.ok ? noWorkspace : unauthorized)
 }
--- a/packages/entry/src/http/configHandlers.ts
+++ b/packages/entry/src/http/configHandlers.ts
@@ -106,7 +106,7 @@
 export const listWorkspaces: ApiHandler = ({ settings, watch }, { req, res }) => {
   const auth = authenticateAdmin(req, settings.adminToken)
   if (!auth.ok) return sendError(res, auth.err)
-  const workspaces = watch.names.map((name) => toView(watch.find(name)!.record))
+  const workspaces = watch.workspaceNames.map((name) => toView(watch.find(name)!.record))
   sendMessage(res, 200, WorkspaceListSchema, create(WorkspaceListSchema, { workspaces }))
 }
 
