--- a/packages/coordination/src/health/endpointHealth.ts
+++ b/packages/coordination/src/health/endpointHealth.ts
@@ -94,7 +94,7 @@
   maySend (id: string): boolean {
     const record = this.records.get(id)
     if (record === undefined || record.state === HEALTH_STATES.healthy) return true
-    if (record.state === HEALTH_STATES.setAside && this.options.now() >= record.asideUntil) {
+    if (record.state === HEALTH_STATES.ejected && this.options.now() >= record.asideUntil) {
       record.state = HEALTH_STATES.probing
       record.probes = 0
     }
@@ -133,7 +133,7 @@
     record.failureShare = blend(record.failureShare, failed / count, FAILURE_WEIGHT, count)
     if (failed === 0) return this.onSound(record)
     const isSuspect = record.state === HEALTH_STATES.probing || this.isFarWorse(record)
-    if (isSuspect && record.state !== HEALTH_STATES.setAside && this.mayAside(record)) this.setAside(record)
+    if (isSuspect && record.state !== HEALTH_STATES.ejected && this.mayAside(record)) this.setAside(record)
     else this.onSound(record)
   }
 
@@ -161,7 +161,7 @@
 
   private setAside (record: EndpointRecord): void {
     record.timesAside++
-    record.state = HEALTH_STATES.setAside
+    record.state = HEALTH_STATES.ejected
     record.asideUntil = this.options.now() + this.options.backoff(record.timesAside)
   }
 
