--- a/packages/entry/src/claimSweeper.ts
+++ b/packages/entry/src/claimSweeper.ts
@@ -2,11 +2,13 @@
 import type { Clock } from '@hazellift/common'
 import type { ClaimStore } from '@hazellift/coordination'
 
-/** What the sweep of old claims needs. */
+/** Dependencies and settings of the claim sweeper. */
 export interface ClaimSweeperOptions {
   clock: Clock
   claims: Pick<ClaimStore, 'scan' | 'remove'>
+  /** How long a claim row is stored after the deadline of its job, in ms. */
   retentionMs: number
+  /** Pause after each page, in ms. */
   intervalMs: number
 }
 
@@ -16,10 +18,11 @@
 const log = createLogger('entry:sweeper')
 
 /**
- * Removes claim rows whose time is over, a page at a time; every entry sweeps,
- * and a row that another one removed first is no harm.
+ * Creates a function that reads one page of claim rows and removes those whose retention time has passed.
+ * Every entry sweeps; a row that another entry removed first is tolerated.
  *
- * @param options - store, retention and pace
+ * @param options - claim store, retention and interval
+ * @returns sweeps the next page, beginning again after the last one, and then pauses for the interval
  */
 export const createClaimSweeper = ({ clock, claims, retentionMs, intervalMs }: ClaimSweeperOptions) => {
   let after = ''
--- a/packages/entry/src/cli/apiClient.ts
+++ b/packages/entry/src/cli/apiClient.ts
@@ -6,27 +6,27 @@
 import type { ErrorBody } from '@hazellift/protocol'
 import { request } from 'undici'
 
-/** Why a call of the API gave no message. */
+/** Why an API call failed: no response of the API, or an error in its own format. */
 export type ApiFault =
   | { type: 'unreachable', message: string }
   | { type: 'error', status: number, body: ErrorBody }
 
-/** An answer with its status, as 200 and 202 carry different messages. */
+/** A successful response with its status, because 200 and 202 have different messages as body. */
 export interface ApiResponse {
   status: number
   text: string
 }
 
-/** One call. */
+/** A call of the API. */
 export interface ApiCall {
   method: 'GET' | 'POST' | 'PUT' | 'DELETE'
   path: string
   body?: string
-  /** Longest wait for the answer, in ms. */
+  /** Timeout for the headers, and for each part of the body, in ms. */
   timeoutMs?: number
 }
 
-/** Where and as whom calls are made. */
+/** URL and token that calls are made with. */
 export interface ApiClientOptions {
   url: string
   token: string
@@ -43,7 +43,7 @@
 }
 
 /**
- * Calls an entry's API.
+ * Creates a client of an entry's HTTP API.
  *
  * @param options - URL of an entry or of the balancer, and a token
  */
@@ -72,8 +72,8 @@
   return { send, call }
 }
 
-/** Calls an entry's API. */
+/** Client of an entry's HTTP API: `send` returns the response's text, `call` the parsed message. */
 export type ApiClient = ReturnType<typeof createApiClient>
 
-/** A message as the body of a call. */
+/** Encodes a message as the body of a call. */
 export const encodeBody = <Desc extends DescMessage>(schema: Desc, message: MessageShape<Desc>): string => toJsonString(schema, message)
--- a/packages/entry/src/cli/configCommands.ts
+++ b/packages/entry/src/cli/configCommands.ts
@@ -17,7 +17,7 @@
 import { print, printFailure, printFault, printJson, printTable } from './output.js'
 import { readDocument } from './readDocument.js'
 
-/** Options of every command that changes the configuration. */
+/** Options of all commands that change the configuration. */
 export interface ChangeOptions extends GlobalOptions {
   seenVersion?: string
   wait: boolean
@@ -39,7 +39,7 @@
   if (options.wait && pending.length > 0) printFailure(`not confirmed by ${pending.join(', ')}`, EXIT_CODES.failed)
 }
 
-/** Sends a change, made from the version given or else from the one in force now. */
+/** Sends a configuration change that is based on the version in the options, or else on the one in force now. */
 export const putConfig = async <Desc extends DescMessage>(
   options: ChangeOptions, path: string, schema: Desc, spec: MessageShape<Desc> & { seenVersion: bigint, operationId: string },
   currentVersion: (client: ApiClient) => Promise<bigint>
@@ -125,7 +125,7 @@
   evaluatePolicy(spec.value, sample.value)
 }
 
-/** A command that changes the configuration. */
+/** Creates a command that changes the configuration. */
 export const changeCommand = (name: string, description: string): Command => clientCommand(name, description)
   .option('--seen-version <version>', 'version that the change was made from (default: the one in force now)')
   .option('--wait', 'return when every live entry has it in force', false)
@@ -134,7 +134,7 @@
   .addOption(workspaceOption())
   .requiredOption('-f, --file <file>', 'YAML or JSON file, - for standard input')
 
-/** `hazellift policy`. */
+/** Creates the command `hazellift policy`. */
 export const policyCommand = (): Command => {
   const policy = new Command('policy').description('shows, checks and changes a workspace\'s policy')
   policy.addCommand(putCommand('puts a policy in force').action(putPolicy))
@@ -148,7 +148,7 @@
   return policy
 }
 
-/** `hazellift workspace`. */
+/** Creates the command `hazellift workspace`. */
 export const workspaceCommand = (): Command => {
   const workspace = new Command('workspace').description('shows and changes workspaces')
   workspace.addCommand(putCommand('creates or changes a workspace (administrator)').action(putWorkspace))
--- a/packages/entry/src/cli/entryCommand.ts
+++ b/packages/entry/src/cli/entryCommand.ts
@@ -11,7 +11,7 @@
   return names.includes(value) ? [] : [{ setting, message: `'${value}' is not one of ${names.join(', ')}` }]
 }
 
-/** Faults that span settings or that the schema cannot express. */
+/** Checks the settings for faults that concern several of them or that the schema cannot express. */
 export const checkEntrySettings = (settings: EntrySettings): SettingFault[] => [
   ...oneOf('--dispatch-rule', settings.dispatchRule, PICK_RULES),
   ...oneOf('--job-order', settings.jobOrder, JOB_ORDERS),
@@ -26,7 +26,7 @@
   runUntilSignal(entry, settings.stopGraceMs)
 }
 
-/** `hazellift entry`. */
+/** Creates the command `hazellift entry`. */
 export const entryCommand = (): Command => addSettingsCommand(
   new Command('entry').description('runs an entry: the API, claims, queues and dispatch'),
   { schema: EntrySettingsSchema, describe: describeSetting, check: checkEntrySettings, start })
--- a/packages/entry/src/cli/jobCommands.ts
+++ b/packages/entry/src/cli/jobCommands.ts
@@ -29,7 +29,7 @@
   resubmit: number
 }
 
-/** One wait on the API; longer ones are made of several. */
+/** Longest wait of a single API call, in ms; a longer wait takes several calls. */
 const WAIT_CHUNK_MS = 30_000
 const WAIT_MARGIN_MS = 5000
 const DEFAULT_WAIT_MS = 600_000
@@ -60,17 +60,17 @@
   printFailure(`job ${answer.id} failed: ${answer.reason} (${answer.run}): ${answer.message}`, EXIT_CODES.failed)
 }
 
-/** Waits for a job's answer over as many calls as it takes. */
-const waitForAnswer = async (client: ApiClient, path: string, first: ApiResponse, waitMs: number): Promise<Result<ApiResponse, ApiFault>> => {
+/** Waits up to `waitMs` for the answer of a job, in as many calls as necessary. */
+const waitForAnswer = async (client: ApiClient, path: string, firstResponse: ApiResponse, waitMs: number): Promise<Result<ApiResponse, ApiFault>> => {
   const until = Date.now() + waitMs
-  let answer = first
-  while (answer.status === 202 && Date.now() < until) {
+  let response = firstResponse
+  while (response.status === 202 && Date.now() < until) {
     const chunkMs = Math.min(WAIT_CHUNK_MS, until - Date.now())
     const res = await client.send({ method: 'GET', path: `${path}?waitMs=${chunkMs}`, timeoutMs: chunkMs + WAIT_MARGIN_MS })
     if (!res.ok) return res
-    answer = res.value
+    response = res.value
   }
-  return { ok: true, value: answer }
+  return { ok: true, value: response }
 }
 
 const printJobResponse = (res: Result<ApiResponse, ApiFault>, json: boolean): void => {
@@ -92,7 +92,7 @@
   })
 }
 
-/** True where the same submission may be sent again with a hope of success. */
+/** True if the same submission may succeed when it is sent again. */
 const mayResubmit = (fault: ApiFault): boolean =>
   fault.type === 'unreachable' || (fault.status >= 500 && fault.body.retryAfterMs > 0)
 
@@ -129,7 +129,7 @@
   printJobResponse(await createClient(options).send({ method: 'DELETE', path: jobPath(options.workspace, id) }), options.json)
 }
 
-/** `hazellift submit`. */
+/** Creates the command `hazellift submit`. */
 export const submitCommand = (): Command => clientCommand('submit', 'submits a job and prints its answer, one line a task')
   .addOption(workspaceOption())
   .requiredOption('-s, --service <name>', 'the service whose endpoints run the tasks')
@@ -143,7 +143,7 @@
   .option('--resubmit <times>', 'how often to submit again after a refusal that may pass', parseNumber, 0)
   .action(submit)
 
-/** `hazellift job`. */
+/** Creates the command `hazellift job`. */
 export const jobCommand = (): Command => {
   const job = new Command('job').description('asks for or cancels a job')
   job.addCommand(clientCommand('get', 'prints a job\'s answer or state').argument('<id>').addOption(workspaceOption())
--- a/packages/entry/src/cli/output.ts
+++ b/packages/entry/src/cli/output.ts
@@ -13,18 +13,18 @@
   process.exitCode = exitCode
 }
 
-/** Prints a message as JSON. */
+/** Prints a message as indented JSON; fields with default values are written out. */
 export const printJson = <Desc extends DescMessage>(schema: Desc, message: MessageShape<Desc>): void =>
   print(toJsonString(schema, message, { prettySpaces: 2, alwaysEmitImplicit: true }))
 
-/** Prints rows under a head. */
+/** Prints rows as a table with a header. */
 export const printTable = (head: string[], rows: (string | number | bigint)[][]): void => {
   const table = new Table({ head, style: { head: [], border: [] } })
   table.push(...rows.map((row) => row.map(String)))
   print(table.toString())
 }
 
-/** Prints what the API refused, and sets the exit code. */
+/** Prints why an API call failed to standard error and sets the exit code. */
 export const printFault = (fault: ApiFault): void => {
   if (fault.type === 'unreachable') return printFailure(`cannot reach the entry: ${fault.message}`, EXIT_CODES.unreachable)
   const { reason, message, run, retryAfterMs, faults } = fault.body
--- a/packages/entry/src/cli/readDocument.ts
+++ b/packages/entry/src/cli/readDocument.ts
@@ -6,10 +6,11 @@
 import { parseDocument } from 'yaml'
 
 /**
- * Reads a message from a YAML (or JSON) file.
+ * Reads a message from a YAML or JSON file.
  *
- * @param schema - the message
- * @param file - its path, - for standard input
+ * @param schema - schema of the message
+ * @param file - path of the file, or - for standard input
+ * @returns the message, or what is wrong with the file
  */
 export const readDocument = <Desc extends DescMessage>(schema: Desc, file: string): Result<MessageShape<Desc>, string> => {
   try {
--- a/packages/entry/src/cli/statusCommand.ts
+++ b/packages/entry/src/cli/statusCommand.ts
@@ -23,6 +23,6 @@
   else printStatus(res.value)
 }
 
-/** `hazellift status`. */
+/** Creates the command `hazellift status`. */
 export const statusCommand = (): Command =>
   clientCommand('status', 'shows entries, endpoints, queues and the configuration in force (administrator)').action(status)
--- a/packages/entry/src/cli/zoneCommands.ts
+++ b/packages/entry/src/cli/zoneCommands.ts
@@ -21,7 +21,7 @@
     ({ name, evacuated, endpoints, running, version }) => [name, evacuated ? 'evacuated' : 'open', endpoints, running, version]))
 }
 
-/** `hazellift zones`. */
+/** Creates the command `hazellift zones`. */
 export const zonesCommand = (): Command => {
   const zones = new Command('zones').description('lists, evacuates and restores availability zones (administrator)')
   zones.addCommand(changeCommand('evacuate', 'no start goes to the zone\'s endpoints until it is restored; what runs is finished')
--- a/packages/entry/src/createEntryComponents.ts
+++ b/packages/entry/src/createEntryComponents.ts
@@ -21,10 +21,10 @@
 import { PeerClients } from './peers/peerClients.js'
 import { createClaimSweeper } from './claimSweeper.js'
 
-/** The parts of an entry, wired together. */
+/** The components of an entry, connected to each other. */
 export interface EntryComponents {
   clock: Clock
-  /** Filled in once the servers listen. */
+  /** Empty until the servers listen. */
   addresses: { api: string, session: string }
   directory: EntryDirectory
   announcement: EntryAnnouncement
@@ -35,18 +35,19 @@
   readiness: Readiness
   clusterView: ClusterView
   apiContext: ApiContext
+  /** Removes expired claim rows of the next page. */
   sweepClaims: () => Promise<void>
-  /** Fails what is still open, for a stop whose grace time is over. */
+  /** Fails all open jobs when the grace time of a stop has passed; returns their keys. */
   failOpenJobs: () => string[]
 }
 
 const STORE_BACKOFF = { baseMs: 20, maxMs: 500 }
-/** Each probe of an endpoint that still fails costs a job. */
+/** Backoff between probes of an ejected endpoint. Each probe of an endpoint that still fails costs a job. */
 const EJECTION_BACKOFF = { baseMs: 5000, maxMs: 120_000 }
 const COLLECT_TIMEOUT_MS = 2000
 const SAVE_ANSWER_TIMEOUT_MS = 2000
 const SWEEP_INTERVAL_MS = 10_000
-/** Heartbeats until agents have heard of a new entry from another one. */
+/** Heartbeats within which agents learn of a new entry from other entries. */
 const WARM_UP_HEARTBEATS = 3
 
 const log = createLogger('entry')
@@ -117,14 +118,14 @@
   onBadPolicy: (workspace, faults) => log('policy_does_not_compile', { workspace, faults: faults.length, first: faults[0]?.message })
 })
 
-/** Who this entry is; the addresses are known once its servers listen. */
+/** Identity of this entry; the addresses are empty until its servers listen. */
 interface Identity {
   entryId: string
   incarnation: string
   addresses: { api: string, session: string }
 }
 
-/** What state and decisions rest on: the store, the configuration and the queues. */
+/** Creates the components that hold state and take decisions: store, configuration, queues and claims. */
 const createCore = (settings: EntrySettings, identity: Identity, base: Metrics, onEntries: () => void) => {
   const { entryId, incarnation, addresses } = identity
   const metrics = createEntryMetrics(base)
@@ -202,9 +203,9 @@
 }
 
 /**
- * Wires the parts of an entry.
+ * Creates the components of an entry and connects them; nothing runs or listens yet.
  *
- * @param settings - checked settings
+ * @param settings - validated settings
  */
 export const createEntryComponents = (settings: EntrySettings): EntryComponents => {
   const clock = systemClock
@@ -215,8 +216,8 @@
     sessions.spreadEntries()
     peers.retainOnly(new Set(core.directory.live.map(({ sessionAddress }) => sessionAddress)))
   })
-  const { directory, dispatcher, watch, owned, claims, metrics, configStore } = core
-  const times = { keepAliveMs: settings.keepAliveMs, timeoutMs: settings.sessionTimeoutMs }
+  const { directory, dispatcher, watch: configWatch, owned: ownedJobs, claims, metrics, configStore } = core
+  const keepAliveTimes = { keepAliveMs: settings.keepAliveMs, timeoutMs: settings.sessionTimeoutMs }
   const sessions = createSessions({
     dispatcher,
     observe: {
@@ -225,28 +226,28 @@
     },
     entryId: identity.entryId,
     incarnation: identity.incarnation,
-    pulse: { busy: times, idle: times },
+    pulse: { busy: keepAliveTimes, idle: keepAliveTimes },
     entries: () => directory.serving.map(({ sessionAddress }) => ({ address: sessionAddress, zone: '' }))
   })
   const announcement = new EntryAnnouncement({ clock, directory, introduce: peers.introduce, seenAfterMs: settings.staleAfterMs })
   const jobs = createJobService(settings, identity, core, peers, announcement)
-  const readiness = new Readiness({ clock, watch, dispatcher, directory, announcement, peers, warmUpMs: settings.heartbeatMs * WARM_UP_HEARTBEATS })
-  const view = createClusterView(identity, core, peers, readiness)
-  const spread = new ConfigPropagation({ clock, entryId: identity.entryId, watch, directory, peers })
+  const readiness = new Readiness({ clock, watch: configWatch, dispatcher, directory, announcement, peers, warmUpMs: settings.heartbeatMs * WARM_UP_HEARTBEATS })
+  const clusterView = createClusterView(identity, core, peers, readiness)
+  const configPropagation = new ConfigPropagation({ clock, entryId: identity.entryId, watch: configWatch, directory, peers })
   addGauges(base, core)
   return {
     clock,
     addresses: identity.addresses,
     directory,
     announcement,
-    configWatch: watch,
-    ownedJobs: owned,
+    configWatch,
+    ownedJobs,
     jobs,
     sessions,
     readiness,
-    clusterView: view,
-    apiContext: { settings, jobs, configWatch: watch, configStore, configPropagation: spread, clusterView: view, metrics, registry: base.registry, isReady: () => readiness.isReady },
+    clusterView,
+    apiContext: { settings, jobs, configWatch, configStore, configPropagation, clusterView, metrics, registry: base.registry, isReady: () => readiness.isReady },
     sweepClaims: createClaimSweeper({ clock, claims, retentionMs: settings.claimRetentionMs, intervalMs: SWEEP_INTERVAL_MS }),
-    failOpenJobs: () => failOpenJobs(owned)
+    failOpenJobs: () => failOpenJobs(ownedJobs)
   }
 }
--- a/packages/entry/src/http/apiContext.ts
+++ b/packages/entry/src/http/apiContext.ts
@@ -6,7 +6,7 @@
 import type { EntryMetrics } from '../operations/entryMetrics.js'
 import type { ClusterView } from '../operations/clusterView.js'
 
-/** What the request handlers work with. */
+/** Components and settings that the request handlers use. */
 export interface ApiContext {
   settings: EntrySettings
   jobs: JobService
@@ -19,7 +19,7 @@
   isReady: () => boolean
 }
 
-/** One request with the parameters of its path and query. */
+/** A request and its response, with the parameters of its path and query. */
 export interface ApiRequest {
   req: IncomingMessage
   res: ServerResponse
@@ -27,5 +27,5 @@
   query: Record<string, string>
 }
 
-/** Handles the requests of one route. */
+/** Handles the requests of one route and sends the response. */
 export type ApiHandler = (context: ApiContext, request: ApiRequest) => Promise<void> | void
--- a/packages/entry/src/http/authenticate.ts
+++ b/packages/entry/src/http/authenticate.ts
@@ -8,7 +8,7 @@
 import { notRunError } from './httpError.js'
 import type { HttpError } from './httpError.js'
 
-/** Who sends a request, as far as the path concerns. */
+/** The sender of a request and its role in the workspace of the path. */
 export interface Caller {
   isAdmin: boolean
   role: TokenRole
@@ -16,7 +16,7 @@
 
 const BEARER = /^Bearer (.+)$/
 
-/** SHA-256 of a token, as records keep it. */
+/** SHA-256 of a token in hexadecimal, as stored in workspace records. */
 export const hashToken = (token: string): string => createHash('sha256').update(token).digest('hex')
 
 const isSameHash = (a: string, b: string): boolean => {
@@ -24,7 +24,7 @@
   return left.length === right.length && timingSafeEqual(left, right)
 }
 
-/** Compares two secrets in constant time. */
+/** Compares two secrets by their hashes in constant time. */
 export const isSameSecret = (a: string, b: string): boolean => isSameHash(hashToken(a), hashToken(b))
 
 const bearerTokenOf = (req: IncomingMessage): string | undefined =>
@@ -37,10 +37,11 @@
   config.record.tokens.find(({ sha256 }) => isSameHash(sha256, hash))?.role as TokenRole | undefined
 
 /**
- * Checks that the request carries the administrator's token.
+ * Checks that a request carries the administrator's token.
  *
  * @param req - the request
- * @param adminToken - from the settings
+ * @param adminToken - the administrator's token from the settings
+ * @returns the caller, or the error to respond with
  */
 export const authenticateAdmin = (req: IncomingMessage, adminToken: string): Result<Caller, HttpError> => {
   const token = bearerTokenOf(req)
@@ -49,20 +50,21 @@
 }
 
 /**
- * Checks a request to a workspace. A token of another workspace learns nothing
- * about this one, not even whether it exists.
+ * Checks whether the sender of a request may use a workspace. A sender with the token of another
+ * workspace cannot tell whether this one exists.
  *
  * @param req - the request
- * @param watch - the configuration in force
- * @param workspace - named by the path
- * @param requiredRole - the role that the request needs
- * @param adminToken - from the settings; the administrator may do all but submit
+ * @param configWatch - the configuration in force
+ * @param workspace - name of the workspace in the path
+ * @param requiredRole - the role that the request requires
+ * @param adminToken - the administrator's token from the settings; it grants all operator requests but no caller requests
+ * @returns the caller and the workspace's configuration, or the error to respond with
  */
 export const authenticate = (
-  req: IncomingMessage, watch: ConfigWatch, workspace: string, requiredRole: TokenRole, adminToken: string
+  req: IncomingMessage, configWatch: ConfigWatch, workspace: string, requiredRole: TokenRole, adminToken: string
 ): Result<{ caller: Caller, config: WorkspaceConfig }, HttpError> => {
   const admin = authenticateAdmin(req, adminToken)
-  const config = watch.find(workspace)
+  const config = configWatch.find(workspace)
   if (admin.ok && requiredRole === TOKEN_ROLES.operator) return config === undefined ? fail(workspaceNotFound) : ok({ caller: admin.value, config })
   const token = bearerTokenOf(req)
   if (token === undefined) return fail(unauthorized)
@@ -72,6 +74,6 @@
     const isAllowed = requiredRole === TOKEN_ROLES.caller || role === TOKEN_ROLES.operator
     return isAllowed ? ok({ caller: { isAdmin: false, role }, config }) : fail(notRunError(REASONS.forbidden, `a token with the role ${requiredRole} is needed`))
   }
-  const isTokenOfOtherWorkspace = watch.names.some((name) => findRole(watch.find(name)!, hash) !== undefined)
+  const isTokenOfOtherWorkspace = configWatch.names.some((name) => findRole(configWatch.find(name)!, hash) !== undefined)
   return fail(isTokenOfOtherWorkspace || admin.ok ? workspaceNotFound : unauthorized)
 }
--- a/packages/entry/src/http/checkJobSpec.ts
+++ b/packages/entry/src/http/checkJobSpec.ts
@@ -5,10 +5,10 @@
 const JOB_ID = /^[A-Za-z0-9][A-Za-z0-9._:-]{0,127}$/
 const SERVICE_NAME = /^[a-z0-9][a-z0-9._-]{0,62}$/
 
-/** True for a name that a workspace may have. */
+/** True if a workspace, or a token, may have this name. */
 export const isWorkspaceName = (name: string): boolean => WORKSPACE_NAME.test(name)
 
-/** True for an id that a job may have. */
+/** True if a job may have this id. */
 export const isJobId = (id: string): boolean => JOB_ID.test(id)
 
 const checkLabels = (labels: Record<string, string>): string | undefined => {
@@ -19,12 +19,12 @@
 }
 
 /**
- * Checks a submission's facts against their bounds.
+ * Checks the fields of a submission against their limits.
  *
  * @param spec - the submission
- * @param maxTasks - most tasks of one job
- * @param maxDeadlineMs - longest deadline
- * @returns what is wrong, if anything
+ * @param maxTasks - maximum number of tasks in a job
+ * @param maxDeadlineMs - maximum deadline, in ms
+ * @returns what is wrong, or undefined if the submission is valid
  */
 export const checkJobSpec = (spec: JobSpec, maxTasks: number, maxDeadlineMs: number): string | undefined => {
   if (!isJobId(spec.id)) return 'id must be 1 to 128 letters, digits or ._:- and begin with a letter or digit'
--- a/packages/entry/src/http/configHandlers.ts
+++ b/packages/entry/src/http/configHandlers.ts
@@ -22,8 +22,8 @@
 const ROLES: readonly string[] = Object.values(TOKEN_ROLES)
 
 const authenticateOperator = (context: ApiContext, request: ApiRequest): WorkspaceConfig | undefined => {
-  const { configWatch: watch, settings } = context
-  const auth = authenticate(request.req, watch, request.params['workspace'] ?? '', TOKEN_ROLES.operator, settings.adminToken)
+  const { configWatch, settings } = context
+  const auth = authenticate(request.req, configWatch, request.params['workspace'] ?? '', TOKEN_ROLES.operator, settings.adminToken)
   if (auth.ok) return auth.value.config
   sendError(request.res, auth.err)
   return undefined
@@ -44,7 +44,7 @@
   return names.size < tokens.length ? 'two tokens have the same name' : undefined
 }
 
-/** A token left empty keeps the value it has. */
+/** Hashes new tokens. A token with an empty value keeps its previous hash. */
 const toTokenRecords = (tokens: TokenSpec[], previous: TokenRecord[]): TokenRecord[] => tokens.map(({ name, role, token }) => {
   const previousHash = previous.find((record) => record.name === name)?.sha256 ?? ''
   return { name, role, sha256: token === '' ? previousHash : hashToken(token) } as TokenRecord
@@ -65,7 +65,7 @@
   }
 }
 
-/** Writes a change and tells the caller where it is in force. */
+/** Stores a configuration change, propagates it to the entries and responds with those where it is in force. */
 export const saveConfigChange = async (context: ApiContext, { res, query }: ApiRequest, edit: ConfigEdit): Promise<void> => {
   const waitMs = readMs(query['waitMs'], 0, MAX_PROPAGATION_WAIT_MS)
   if (!waitMs.ok) return sendError(res, waitMs.err)
@@ -76,7 +76,7 @@
   sendMessage(res, 200, ConfigAcceptedSchema, create(ConfigAcceptedSchema, { version: result.value, ...propagation }))
 }
 
-/** Creates or changes a workspace. */
+/** Creates or changes a workspace; for the administrator. */
 export const putWorkspace: ApiHandler = async (context, request) => {
   const { req, res, params } = request
   const auth = authenticateAdmin(req, context.settings.adminToken)
@@ -96,21 +96,21 @@
   await saveConfigChange(context, request, { kind: CONFIG_KINDS.workspace, name, seenVersion, operationId: operationId || ulid(), record })
 }
 
-/** Shows a workspace. */
+/** Returns a workspace; for its operators. */
 export const getWorkspace: ApiHandler = (context, request) => {
   const config = authenticateOperator(context, request)
   if (config !== undefined) sendMessage(request.res, 200, WorkspaceViewSchema, toView(config.record))
 }
 
-/** Lists all workspaces, for the administrator. */
-export const listWorkspaces: ApiHandler = ({ settings, configWatch: watch }, { req, res }) => {
+/** Lists all workspaces; for the administrator. */
+export const listWorkspaces: ApiHandler = ({ settings, configWatch }, { req, res }) => {
   const auth = authenticateAdmin(req, settings.adminToken)
   if (!auth.ok) return sendError(res, auth.err)
-  const workspaces = watch.names.map((name) => toView(watch.find(name)!.record))
+  const workspaces = configWatch.names.map((name) => toView(configWatch.find(name)!.record))
   sendMessage(res, 200, WorkspaceListSchema, create(WorkspaceListSchema, { workspaces }))
 }
 
-/** Puts a workspace's policy in force, if it compiles. */
+/** Replaces a workspace's policy if the new one compiles; for its operators. */
 export const putPolicy: ApiHandler = async (context, request) => {
   const config = authenticateOperator(context, request)
   if (config === undefined) return
@@ -127,7 +127,7 @@
   await saveConfigChange(context, request, { kind: CONFIG_KINDS.policy, name, seenVersion, operationId: operationId || ulid(), record })
 }
 
-/** Shows a workspace's policy. */
+/** Returns a workspace's policy, empty if none was set; for its operators. */
 export const getPolicy: ApiHandler = (context, request) => {
   const config = authenticateOperator(context, request)
   if (config === undefined) return
@@ -140,7 +140,7 @@
   return change
 }
 
-/** Lists the accepted changes of one workspace, newest last. */
+/** Lists the accepted configuration changes of a workspace, newest last; for its operators. */
 export const getHistory: ApiHandler = async (context, request) => {
   const config = authenticateOperator(context, request)
   if (config === undefined) return
--- a/packages/entry/src/http/createApiServer.ts
+++ b/packages/entry/src/http/createApiServer.ts
@@ -35,9 +35,9 @@
 const log = createLogger('entry:api')
 
 /**
- * The HTTP server for callers and operators.
+ * Creates the HTTP server for callers, operators and the administrator.
  *
- * @param context - what the handlers work with
+ * @param context - components and settings that the handlers use
  */
 export const createApiServer = (context: ApiContext): Server => {
   const router = createRouter({
@@ -55,7 +55,7 @@
         await handler(context, { req: req as never, res: res as never, params, query: query as Record<string, string> })
       } catch (err) {
         log('request_failed', { method, path, error: errorMessage(err) })
-        // What the request began is not known here.
+        // It is not known here whether the request has started anything.
         if (!res.headersSent) sendError(res as never, { reason: REASONS.internal, message: 'internal error', run: RUN_STATES.mayHaveRun })
       }
     })
--- a/packages/entry/src/http/httpError.ts
+++ b/packages/entry/src/http/httpError.ts
@@ -1,7 +1,7 @@
 import { REASONS, RUN_STATES } from '@hazellift/protocol'
 import type { PolicyFault, Reason, RunState } from '@hazellift/protocol'
 
-/** A request that is answered with an error. */
+/** An error that a request is answered with. */
 export interface HttpError {
   reason: Reason
   message: string
@@ -12,7 +12,7 @@
   faults?: Omit<PolicyFault, '$typeName'>[]
 }
 
-/** HTTP status of each reason that a request may be refused with. */
+/** HTTP status by reason; other reasons have `DEFAULT_STATUS`. */
 export const STATUS_OF_REASON: Partial<Record<Reason, number>> = {
   [REASONS.badRequest]: 400,
   [REASONS.badPolicy]: 400,
@@ -31,9 +31,9 @@
   [REASONS.internal]: 500
 }
 
-/** Reasons without a status of their own are passing states of the service. */
+/** Status of all other reasons, which are temporary states of the service. */
 export const DEFAULT_STATUS = 503
 
-/** An error of a request that ran nothing. */
+/** Creates the error of a request that has run nothing. */
 export const notRunError = (reason: Reason, message: string): HttpError =>
   ({ reason, message, run: RUN_STATES.notRun })
--- a/packages/entry/src/http/jobHandlers.ts
+++ b/packages/entry/src/http/jobHandlers.ts
@@ -10,7 +10,7 @@
 
 const DEFAULT_WAIT_MS = 30_000
 
-/** Without the configuration nothing is known, not even whether the submission ran before. */
+/** Without the configuration the entry cannot tell whether the submission ran before, so it may have run. */
 const notReady: HttpError = {
   reason: REASONS.notReady, message: 'this entry has not read the configuration yet', run: RUN_STATES.mayHaveRun, retryAfterMs: 1000
 }
@@ -21,13 +21,13 @@
 }
 
 const authenticateCaller = (context: ApiContext, request: ApiRequest): WorkspaceConfig | undefined => {
-  const { configWatch: watch, settings, metrics } = context
-  if (!watch.isLoaded) {
+  const { configWatch, settings, metrics } = context
+  if (!configWatch.isLoaded) {
     metrics.refusals.inc({ reason: REASONS.notReady })
     sendError(request.res, notReady)
     return undefined
   }
-  const auth = authenticate(request.req, watch, request.params['workspace'] ?? '', TOKEN_ROLES.caller, settings.adminToken)
+  const auth = authenticate(request.req, configWatch, request.params['workspace'] ?? '', TOKEN_ROLES.caller, settings.adminToken)
   if (auth.ok) return auth.value.config
   metrics.refusals.inc({ reason: auth.err.reason })
   sendError(request.res, auth.err)
@@ -37,7 +37,7 @@
 const sendJobNotFound = ({ res }: ApiRequest): void =>
   sendError(res, notRunError(REASONS.notFound, 'no such job'))
 
-/** Submits a job, or attaches to it if it was submitted before. */
+/** Submits a job, or waits for the existing one if it was submitted before. */
 export const submitJob: ApiHandler = async (context, request) => {
   const { settings, metrics, jobs } = context
   const config = authenticateCaller(context, request)
@@ -57,7 +57,7 @@
   sendReply(context, request, spec.value.id, await jobs.submit(config, spec.value, waitMs.value))
 }
 
-/** Asks for a job, waiting for its answer if asked to. */
+/** Returns the answer or state of a job, after a wait for the answer if `waitMs` is given. */
 export const getJob: ApiHandler = async (context, request) => {
   const config = authenticateCaller(context, request)
   if (config === undefined) return
@@ -68,7 +68,7 @@
   sendReply(context, request, id, await context.jobs.ask(config.record.name, id, waitMs.value))
 }
 
-/** Cancels a job. */
+/** Cancels a job and responds with its answer or state. */
 export const cancelJob: ApiHandler = async (context, request) => {
   const config = authenticateCaller(context, request)
   if (config === undefined) return
--- a/packages/entry/src/http/parseJson.ts
+++ b/packages/entry/src/http/parseJson.ts
@@ -4,7 +4,7 @@
 import type { Result } from '@hazellift/common'
 import { visit } from 'jsonc-parser'
 
-/** Name of the first field that stands twice in one object, if any. */
+/** Name of the first field that occurs twice in one object, if any. */
 const findDuplicateField = (text: string): string | undefined => {
   const scopes: Set<string>[] = []
   let duplicate: string | undefined
@@ -21,11 +21,11 @@
 }
 
 /**
- * Reads a message from a JSON body. Unknown and duplicate fields are faults:
- * a caller that misspells a field must not get something else than it asked for.
+ * Parses a message from a JSON body. Unknown and duplicate fields are errors: a caller that
+ * misspells a field must not get something other than it asked for.
  *
- * @param schema - the message
- * @param bytes - the body
+ * @param schema - schema of the message
+ * @param bytes - the body, in UTF-8
  * @returns the message, or what is wrong with the body
  */
 export const parseJson = <Desc extends DescMessage>(schema: Desc, bytes: Uint8Array): Result<MessageShape<Desc>, string> => {
--- a/packages/entry/src/http/readBody.ts
+++ b/packages/entry/src/http/readBody.ts
@@ -2,14 +2,14 @@
 import { fail, ok } from '@hazellift/common'
 import type { Result } from '@hazellift/common'
 
-/** A body that was not read to its end. */
+/** Why a body was not read to its end: it exceeds the limit, or the connection broke. */
 export type BodyFault = 'too_large' | 'cut_off'
 
 /**
- * Reads a request's body up to a bound.
+ * Reads the body of a request up to a limit.
  *
  * @param req - the request
- * @param maxBytes - the bound
+ * @param maxBytes - maximum size of the body
  */
 export const readBody = async (req: IncomingMessage, maxBytes: number): Promise<Result<Buffer, BodyFault>> => {
   if (Number(req.headers['content-length'] ?? 0) > maxBytes) return fail('too_large')
--- a/packages/entry/src/http/readMessage.ts
+++ b/packages/entry/src/http/readMessage.ts
@@ -9,11 +9,12 @@
 import { readBody } from './readBody.js'
 
 /**
- * Reads a request's body as a message.
+ * Reads and parses the body of a request as a message.
  *
- * @param context - for the bound of bodies
+ * @param context - its settings limit the size of bodies
  * @param request - the request
- * @param schema - the message
+ * @param schema - schema of the message
+ * @returns the message, or the error to respond with
  */
 export const readMessage = async <Desc extends DescMessage>(
   { settings }: ApiContext, { req }: ApiRequest, schema: Desc
@@ -28,11 +29,11 @@
 }
 
 /**
- * Reads a whole number of ms from the query.
+ * Parses a query parameter that is a whole number of milliseconds.
  *
  * @param text - the parameter, if given
- * @param fallback - its value if not
- * @param max - longer ones are cut to this
+ * @param fallback - the result if it is not given
+ * @param max - larger values are reduced to this
  */
 export const readMs = (text: string | undefined, fallback: number, max: number): Result<number, HttpError> => {
   if (text === undefined) return ok(fallback)
--- a/packages/entry/src/http/reply.ts
+++ b/packages/entry/src/http/reply.ts
@@ -6,7 +6,7 @@
 import { DEFAULT_STATUS, STATUS_OF_REASON } from './httpError.js'
 import type { HttpError } from './httpError.js'
 
-/** Sends a message as JSON. */
+/** Sends a message as a JSON response; fields with default values are written out. */
 export const sendMessage = <Desc extends DescMessage>(
   res: ServerResponse, status: number, schema: Desc, message: MessageShape<Desc>, headers: Record<string, string> = {}
 ): void => {
@@ -14,7 +14,7 @@
   res.end(toJsonString(schema, message, { alwaysEmitImplicit: true }) + '\n')
 }
 
-/** Sends an error. Retry-After is in whole seconds, so it is rounded up. */
+/** Sends an error as a JSON response. The Retry-After header has whole seconds, so the time is rounded up. */
 export const sendError = (res: ServerResponse, err: HttpError): void => {
   const status = STATUS_OF_REASON[err.reason] ?? DEFAULT_STATUS
   const headers: Record<string, string> = {}
@@ -22,7 +22,7 @@
   sendMessage(res, status, ErrorBodySchema, create(ErrorBodySchema, err), headers)
 }
 
-/** Sends what became of a request about a job. */
+/** Sends the result of a request about a job: its answer, its pending state or a refusal. */
 export const sendJobReply = (res: ServerResponse, workspace: string, id: string, reply: JobReply): void => {
   switch (reply.type) {
     case 'answer': return sendMessage(res, 200, JobAnswerSchema, reply.answer)
--- a/packages/entry/src/http/zoneHandlers.ts
+++ b/packages/entry/src/http/zoneHandlers.ts
@@ -10,31 +10,31 @@
 import { readMessage } from './readMessage.js'
 import { sendError, sendMessage } from './reply.js'
 
-/** Zones with endpoints that this entry knows, and those that were ever changed. */
-const listKnownZones = ({ clusterView: view, configWatch: watch }: ApiContext): ZoneView[] => {
+/** Availability zones with endpoints that this entry knows, and all zones that were ever evacuated or restored. */
+const listKnownZones = ({ clusterView, configWatch }: ApiContext): ZoneView[] => {
   const zones = new Map<string, ZoneView>()
   const getOrCreate = (name: string): ZoneView => {
     const known = zones.get(name) ?? create(ZoneViewSchema, { name })
     zones.set(name, known)
     return known
   }
-  for (const { zone, running } of view.ownStatus().endpoints) {
+  for (const { zone, running } of clusterView.ownStatus().endpoints) {
     const known = getOrCreate(zone)
     known.endpoints++
     known.running += running
   }
-  for (const { name, version, evacuated } of watch.zones) Object.assign(getOrCreate(name), { version, evacuated })
+  for (const { name, version, evacuated } of configWatch.zones) Object.assign(getOrCreate(name), { version, evacuated })
   return [...zones.values()].sort((a, b) => a.name < b.name ? -1 : 1)
 }
 
-/** Lists the availability zones, for the administrator. */
+/** Lists the known availability zones; for the administrator. */
 export const listZones: ApiHandler = (context, { req, res }) => {
   const auth = authenticateAdmin(req, context.settings.adminToken)
   if (!auth.ok) return sendError(res, auth.err)
   sendMessage(res, 200, ZoneListSchema, create(ZoneListSchema, { zones: listKnownZones(context) }))
 }
 
-/** Evacuates or restores an availability zone. */
+/** Evacuates or restores an availability zone; for the administrator. */
 export const putZone: ApiHandler = async (context, request) => {
   const { req, res, params } = request
   const auth = authenticateAdmin(req, context.settings.adminToken)
--- a/packages/entry/src/index.ts
+++ b/packages/entry/src/index.ts
@@ -1,3 +1,3 @@
-/** The entry and the client of its API, for programs that embed them. */
+/** The entry process and the client of its HTTP API, for programs that embed them. */
 export * from './cli/apiClient.js'
 export * from './startEntry.js'
--- a/packages/entry/src/operations/clusterView.ts
+++ b/packages/entry/src/operations/clusterView.ts
@@ -4,7 +4,7 @@
 import type { ClusterStatus, StatusResponse } from '@hazellift/protocol'
 import type { PeerClients } from '../peers/peerClients.js'
 
-/** What the view needs. */
+/** Dependencies of the cluster view. */
 export interface ClusterViewOptions {
   entryId: string
   incarnation: string
@@ -14,14 +14,15 @@
   peers: Pick<PeerClients, 'status'>
   configVersion: () => bigint
   isReady: () => boolean
+  /** Number of jobs that this entry owns. */
   jobs: () => number
 }
 
-/** What this entry, and all of them together, see of the system. */
+/** Status of this entry and of the cluster, as the API and peers ask for it. */
 export class ClusterView {
   constructor (private readonly options: ClusterViewOptions) {}
 
-  /** What this entry sees. */
+  /** Status of this entry: its jobs, queues and the endpoints that it knows. */
   ownStatus (): StatusResponse {
     const { entryId, incarnation, apiAddress, configVersion, isReady, jobs } = this.options
     return create(StatusResponseSchema, {
@@ -36,7 +37,7 @@
     })
   }
 
-  /** What all live entries see. */
+  /** Status of all live entries; those that do not answer are listed as unreachable. */
   async clusterStatus (): Promise<ClusterStatus> {
     const { directory, peers } = this.options
     const answers = await Promise.all(directory.peers.map(async ({ entryId, sessionAddress }) =>
--- a/packages/entry/src/operations/countMessages.ts
+++ b/packages/entry/src/operations/countMessages.ts
@@ -1,18 +1,18 @@
 import type { AgentFrame, EntryFrame } from '@hazellift/protocol'
 import type { EntryMetrics } from './entryMetrics.js'
 
-/** Kinds of messages on sessions; a frame may carry several. */
+/** Kinds of messages on sessions, as labels of a metric; a frame may carry several messages. */
 export const MESSAGE_KINDS = {
   start: 'start',
   result: 'result',
-  /** A frame of its own that only grants credits. */
+  /** A frame that only grants credits. */
   grant: 'grant',
-  /** A frame of its own that only tells demand. */
+  /** A frame that only reports demand. */
   demand: 'demand',
   return: 'return',
   revoke: 'revoke',
   collect: 'collect',
-  /** A frame of its own that only tells of a failure of another entry's start. */
+  /** A frame that only reports a failed start of another entry. */
   failure: 'failure',
   keepAlive: 'keep_alive'
 } as const
@@ -27,7 +27,7 @@
   return endsElsewhere !== undefined && endsElsewhere.failed > 0 ? MESSAGE_KINDS.failure : MESSAGE_KINDS.keepAlive
 }
 
-/** Counts what an agent sent. Credits that come with a result cost no message. */
+/** Counts the messages of a frame from an agent. Credits that come with a result are not counted as a message. */
 export const countAgentFrame = (metrics: EntryMetrics, frame: AgentFrame): void => {
   metrics.frames.inc({ direction: 'in' })
   count(metrics, MESSAGE_KINDS.result, frame.results.length)
@@ -37,7 +37,7 @@
   count(metrics, kindOfFrameWithoutMessages(frame), 1)
 }
 
-/** Counts what this entry sends. Demand that travels with a start costs no message. */
+/** Counts the messages of a frame to an agent. Demand that goes out with a start is not counted as a message. */
 export const countEntryFrame = (metrics: EntryMetrics, frame: EntryFrame): void => {
   metrics.frames.inc({ direction: 'out' })
   count(metrics, MESSAGE_KINDS.start, frame.starts.length)
--- a/packages/entry/src/operations/entryMetrics.ts
+++ b/packages/entry/src/operations/entryMetrics.ts
@@ -1,7 +1,7 @@
 import { TIME_BUCKETS_SECONDS } from '@hazellift/common'
 import type { Metrics } from '@hazellift/common'
 
-/** Metrics of an entry. No label names a workspace. */
+/** Creates the metrics of an entry. No label names a workspace. */
 export const createEntryMetrics = ({ counter, histogram }: Metrics) => ({
   refusals: counter({ name: 'hazellift_refusals_total', help: 'Requests refused', labels: ['reason'] }),
   jobs: counter({ name: 'hazellift_jobs_total', help: 'Final answers of jobs', labels: ['state', 'reason'] }),
@@ -19,5 +19,5 @@
   runSeconds: histogram({ name: 'hazellift_run_seconds', help: 'Run time of tasks', buckets: TIME_BUCKETS_SECONDS })
 })
 
-/** Metrics of an entry. */
+/** Counters and histograms of an entry. */
 export type EntryMetrics = ReturnType<typeof createEntryMetrics>
--- a/packages/entry/src/operations/readiness.ts
+++ b/packages/entry/src/operations/readiness.ts
@@ -2,7 +2,7 @@
 import type { ConfigWatch, Dispatcher, EntryAnnouncement, EntryDirectory } from '@hazellift/coordination'
 import type { PeerClients } from '../peers/peerClients.js'
 
-/** What readiness depends on. */
+/** Dependencies and settings of readiness. */
 export interface ReadinessOptions {
   clock: Clock
   watch: ConfigWatch
@@ -10,15 +10,15 @@
   directory: Pick<EntryDirectory, 'peers'>
   announcement: Pick<EntryAnnouncement, 'isDone'>
   peers: Pick<PeerClients, 'status'>
-  /** Longest wait for agents to find this entry, in ms. */
+  /** Longest wait for agents to connect to this entry, in ms. */
   warmUpMs: number
 }
 
 const CHECK_INTERVAL_MS = 100
 
 /**
- * An entry is ready once it has the configuration in force, is known to the
- * others, and has as many agents as they have or has waited long enough for them.
+ * Decides whether the entry is ready for requests: it has loaded the configuration, is known to the other
+ * entries, and has as many agents as each of them or has waited `warmUpMs` for them.
  */
 export class Readiness {
   private isWarmedUp = false
@@ -26,12 +26,12 @@
 
   constructor (private readonly options: ReadinessOptions) {}
 
-  /** True while requests should come here. */
+  /** True while a balancer should send requests to this entry. */
   get isReady (): boolean {
     return this.isWarmedUp && this.options.watch.isLoaded && !this.isStopping
   }
 
-  /** Takes the entry out of the balancer. */
+  /** Reports the entry as not ready from now on, so that balancers stop sending requests to it. */
   stop (): void {
     this.isStopping = true
   }
--- a/packages/entry/src/peers/configPropagation.ts
+++ b/packages/entry/src/peers/configPropagation.ts
@@ -2,7 +2,7 @@
 import type { ConfigWatch, EntryDirectory } from '@hazellift/coordination'
 import type { PeerClients } from './peerClients.js'
 
-/** What spreading needs. */
+/** Dependencies of the propagation of configuration changes. */
 export interface ConfigPropagationOptions {
   clock: Clock
   entryId: string
@@ -11,7 +11,7 @@
   peers: Pick<PeerClients, 'configChanged'>
 }
 
-/** Where a version is in force. */
+/** Ids of the entries where a version is in force, and of those that have not confirmed it. */
 export interface PropagationResult {
   inForce: string[]
   pending: string[]
@@ -19,15 +19,16 @@
 
 const RETRY_MS = 200
 
-/** Tells all entries of an accepted change, which they would else find at their next poll. */
+/** Notifies all entries of an accepted configuration change, which they would otherwise find at their next poll. */
 export class ConfigPropagation {
   constructor (private readonly options: ConfigPropagationOptions) {}
 
   /**
-   * Puts a version in force here and tells the peers.
+   * Puts a version in force at this entry and notifies its peers, and tries again until all confirm or the wait ends.
    *
-   * @param version - just accepted
-   * @param waitMs - how long to wait for peers that do not confirm
+   * @param version - the version that was accepted
+   * @param waitMs - how long to wait for peers that do not confirm; with 0 each is asked once
+   * @returns which entries have confirmed the version and which have not
    */
   async propagate (version: bigint, waitMs: number): Promise<PropagationResult> {
     const { clock, watch, entryId, directory } = this.options
--- a/packages/entry/src/peers/createPeerService.ts
+++ b/packages/entry/src/peers/createPeerService.ts
@@ -6,15 +6,15 @@
 const CANCEL_WAIT_MS = 2000
 
 /**
- * Answers calls of other entries.
+ * Creates the service that answers calls from other entries.
  *
- * @param jobs - jobs of this entry
- * @param directory - entries that this one knows
- * @param watch - configuration in force
- * @param view - what this entry sees
+ * @param jobs - job service of this entry
+ * @param directory - directory of the entries that this one knows
+ * @param configWatch - configuration in force
+ * @param clusterView - status of this entry
  */
 export const createPeerService = (
-  jobs: JobService, directory: EntryDirectory, watch: ConfigWatch, view: ClusterView
+  jobs: JobService, directory: EntryDirectory, configWatch: ConfigWatch, clusterView: ClusterView
 ): ServiceImpl<typeof PeerService> => ({
   await: (query) => jobs.peerAnswers.await(query),
   cancel: (query) => jobs.peerAnswers.cancel({ ...query, waitMs: CANCEL_WAIT_MS }),
@@ -23,8 +23,8 @@
     return { incarnation: directory.ownRecord().incarnation }
   },
   configChanged: async ({ version }) => {
-    if (watch.version < version) await watch.refresh()
-    return { version: watch.version }
+    if (configWatch.version < version) await configWatch.refresh()
+    return { version: configWatch.version }
   },
-  status: () => view.ownStatus()
+  status: () => clusterView.ownStatus()
 })
--- a/packages/entry/src/peers/peerClients.ts
+++ b/packages/entry/src/peers/peerClients.ts
@@ -14,7 +14,7 @@
   return next(req)
 }
 
-/** Calls to other entries over Connect; one connection a peer. */
+/** Calls other entries over Connect, with one connection per peer. */
 export class PeerClients implements PeerCalls {
   private readonly clients = new Map<string, Client<typeof PeerService>>()
 
@@ -27,25 +27,25 @@
     this.call(waitMs + CALL_TIMEOUT_MS, (timeoutMs) =>
       this.client(address).cancel({ workspace, submission, nonce }, { timeoutMs }))
 
-  /** Tells a peer of this entry; gives the peer's incarnation if it answered. */
+  /** Introduces this entry to a peer; returns the peer's incarnation, or undefined if it did not answer. */
   introduce = async (address: string, entry: EntryRecord): Promise<string | undefined> => {
     const res = await this.call(CALL_TIMEOUT_MS, (timeoutMs) => this.client(address).introduce({ entry }, { timeoutMs }))
     return res.ok ? res.value.incarnation : undefined
   }
 
-  /** Tells a peer of a newer configuration; gives the version it has in force then. */
+  /** Notifies a peer of a newer configuration; returns the version that is then in force there, or undefined if it did not answer. */
   configChanged = async (address: string, version: bigint): Promise<bigint | undefined> => {
     const res = await this.call(CALL_TIMEOUT_MS, (timeoutMs) => this.client(address).configChanged({ version }, { timeoutMs }))
     return res.ok ? res.value.version : undefined
   }
 
-  /** What a peer sees, if it answers. */
+  /** Asks a peer for its status; returns undefined if it did not answer. */
   status = async (address: string): Promise<StatusResponse | undefined> => {
     const res = await this.call(CALL_TIMEOUT_MS, (timeoutMs) => this.client(address).status({}, { timeoutMs }))
     return res.ok ? res.value : undefined
   }
 
-  /** Forgets connections to entries that are gone. */
+  /** Drops the clients of all addresses that are not in the set. */
   retainOnly (addresses: Set<string>): void {
     for (const address of this.clients.keys()) if (!addresses.has(address)) this.clients.delete(address)
   }
--- a/packages/entry/src/startEntry.ts
+++ b/packages/entry/src/startEntry.ts
@@ -15,21 +15,23 @@
 import type { EntryComponents } from './createEntryComponents.js'
 import { createPeerService } from './peers/createPeerService.js'
 
-/** A running entry. */
+/** An entry whose servers listen. */
 export interface RunningEntry {
+  /** Address that the API server listens on, as `host:port`. */
   apiAddress: string
+  /** Address that the session server (agents and other entries) listens on, as `host:port`. */
   sessionAddress: string
-  /** Resolves once the entry takes requests for the first time. */
+  /** Resolves once the entry is ready for requests for the first time. */
   ready: Promise<void>
-  /** Stops gracefully: nothing that runs is interrupted within the grace time. */
+  /** Stops gracefully: waits until all jobs have ended and all requests are answered. The caller limits this by a call of `cut`. */
   stop: () => Promise<void>
-  /** Ends a graceful stop early; gives the keys of the jobs that are cut. */
+  /** Ends a graceful stop early by failing all open jobs; returns their keys. */
   cut: () => string[]
 }
 
 const log = createLogger('entry')
 const DRAIN_CHECK_MS = 20
-/** Time for callers of this moment's answers, and for balancers, before the listeners close. */
+/** Delay before the listeners close, in ms, so that the last answers reach their callers and balancers notice the stop. */
 const CLOSE_DELAY_MS = 100
 
 const clusterTokenInterceptor = (clusterToken: string): Interceptor => (next) => async (req) => {
@@ -53,7 +55,7 @@
     }
   }))
 
-/** Closes a server and what is still open on it. */
+/** Closes a server and the HTTP/2 sessions that are still open on it. */
 const closeSessionServer = async (server: Http2Server, openSessions: Set<ServerHttp2Session>): Promise<void> => {
   const closed = once(server, 'close')
   server.close()
@@ -90,7 +92,7 @@
   }
 }
 
-/** Counts requests that are not answered; some wait for jobs of other entries. */
+/** Counts requests that have no response yet; some of them wait for jobs of other entries. */
 const countOpenRequests = (server: Server): (() => number) => {
   let openRequests = 0
   server.on('request', (_req, res) => {
@@ -105,9 +107,10 @@
 }
 
 /**
- * Starts an entry.
+ * Starts an entry: its API server, its session server and its background loops.
  *
- * @param settings - checked settings
+ * @param settings - validated settings
+ * @returns the entry once both servers listen; it is ready later
  */
 export const startEntry = async (settings: EntrySettings): Promise<RunningEntry> => {
   const components = createEntryComponents(settings)
--- a/packages/protocol/src/constants.ts
+++ b/packages/protocol/src/constants.ts
@@ -1,4 +1,4 @@
-/** Final states of a job, and the one before. */
+/** States of a job; `complete` and `failed` are final. */
 export const JOB_STATES = {
   running: 'running',
   complete: 'complete',
@@ -6,7 +6,7 @@
 } as const
 export type JobState = typeof JOB_STATES[keyof typeof JOB_STATES]
 
-/** What a failure or refusal says about the tasks. `notRun` is said only where it is certain. */
+/** What a failure or refusal says about whether tasks ran. `notRun` is used only if it is certain that none did. */
 export const RUN_STATES = {
   notRun: 'not run',
   mayHaveRun: 'may have run',
@@ -14,48 +14,48 @@
 } as const
 export type RunState = typeof RUN_STATES[keyof typeof RUN_STATES]
 
-/** How one start of a task ended. */
+/** How one attempt to run a task ended. */
 export const TASK_OUTCOMES = {
-  /** The endpoint answered; the body is its answer. */
+  /** The endpoint responded; the result carries its response body. */
   done: 'done',
-  /** The endpoint ran the task, or may have, and the attempt is over. */
+  /** The endpoint ran the task or may have run it, and the attempt has ended. */
   failed: 'failed',
-  /** The start is proved not to have reached the endpoint, and never will. */
+  /** It is certain that the start has not reached the endpoint and never will. */
   notStarted: 'not_started'
 } as const
 export type TaskOutcome = typeof TASK_OUTCOMES[keyof typeof TASK_OUTCOMES]
 
-/** What an entry answers a peer that asks for a job. */
+/** How an entry answers a peer that asks for one of its jobs. */
 export const PEER_ANSWERS = {
-  /** The job's final answer is given. */
+  /** The reply carries the job's final answer. */
   final: 'final',
-  /** The job runs on; ask again. */
+  /** The job has not ended yet; the peer asks again. */
   pending: 'pending',
-  /** The claim is the callee's, nothing of it was started and nothing will be. */
+  /** The claim belongs to the called entry, which gave it up before it started any task and will start none. */
   released: 'released',
-  /** Not the incarnation or claim that was asked for. */
+  /** The called entry is another incarnation, or does not know the claim. */
   unknown: 'unknown'
 } as const
 export type PeerAnswer = typeof PEER_ANSWERS[keyof typeof PEER_ANSWERS]
 
-/** How a job ended that was handed to another entry. */
+/** How a job ended that was handed on (forwarded to another entry). */
 export const HAND_ON_ENDS = {
   complete: 'complete',
   failed: 'failed',
-  /** Nothing of it was started and nothing will be. */
+  /** The other entry has started none of its tasks and will start none. */
   refused: 'refused'
 } as const
 export type HandOnState = typeof HAND_ON_ENDS[keyof typeof HAND_ON_ENDS]
 
-/** Rights of a token. */
+/** Roles of a token, which decide what its holder may do in a workspace. */
 export const TOKEN_ROLES = { caller: 'caller', operator: 'operator' } as const
 export type TokenRole = typeof TOKEN_ROLES[keyof typeof TOKEN_ROLES]
 
-/** Health of an endpoint as an entry sees it. */
+/** Health of an endpoint as an entry sees it; an ejected endpoint failed too often and gets no tasks for a while. */
 export const HEALTH_STATES = { healthy: 'healthy', ejected: 'set_aside', probing: 'probing' } as const
 export type HealthState = typeof HEALTH_STATES[keyof typeof HEALTH_STATES]
 
-/** Metadata that carries the cluster token between processes. */
+/** Request header that carries the cluster token between processes of the cluster. */
 export const CLUSTER_TOKEN_HEADER = 'hazellift-cluster-token'
 
 /** Request headers from an agent to its endpoint. */
--- a/packages/protocol/src/index.ts
+++ b/packages/protocol/src/index.ts
@@ -1,4 +1,4 @@
-/** Messages, records and settings, generated from the schemas in `proto/`. */
+/** Messages, records and settings, generated from the schemas in `proto/`, and the constants that their fields carry. */
 export * from './constants.js'
 export * from './describeSetting.js'
 export * from './reasons.js'
--- a/packages/protocol/src/reasons.ts
+++ b/packages/protocol/src/reasons.ts
@@ -1,5 +1,5 @@
 /**
- * Every reason of a refusal, failure or retry; used by errors, logs, counters and docs alike.
+ * Reasons of refusals, failures and retries, the same in errors, logs, metrics and documentation.
  */
 export const REASONS = {
   // Requests
@@ -30,17 +30,17 @@
   taskFailed: 'task_failed',
   agentLost: 'agent_lost',
   ownerLost: 'owner_lost',
-  /** Endpoints crash under one of its tasks wherever that is started. */
+  /** One of its tasks crashes every endpoint that runs it. */
   taskCrashesEndpoints: 'task_crashes_endpoints',
   takenOver: 'taken_over',
   stopCut: 'stop_cut',
   answerUnsaved: 'answer_unsaved',
-  // Ends of a start at an agent
+  // How an attempt ended at an agent
   endpointError: 'endpoint_error',
   endpointReset: 'endpoint_reset',
   endpointRefused: 'endpoint_refused',
   endpointGone: 'endpoint_gone',
-  /** The endpoint's life ended, and it had not said that it leaves. */
+  /** The endpoint process ended without announcing that it leaves. */
   endpointCrashed: 'endpoint_crashed',
   badAnswer: 'bad_answer',
   leaseExpired: 'lease_expired',
@@ -49,21 +49,21 @@
   duplicateStart: 'duplicate_start',
   noSlot: 'no_slot',
   lostStart: 'lost_start',
-  /** The task is done, but the agent kept its answer no longer. */
+  /** The task is done, but the agent no longer has its answer. */
   answerDropped: 'answer_dropped',
-  /** The endpoint did not answer the order to start; it is proved void since. */
+  /** The endpoint did not answer the start order, which has since been confirmed void. */
   orderUnanswered: 'order_unanswered',
-  /** The endpoint turned the start away. */
+  /** The endpoint rejected the start. */
   endpointBusy: 'endpoint_busy',
-  /** The operator evacuates the endpoint's availability zone. */
+  /** The operator has evacuated the endpoint's availability zone. */
   zoneEvacuated: 'zone_evacuated',
-  // Jobs that are not kept
+  // Ephemeral jobs
   notKept: 'not_kept',
   unsupported: 'unsupported',
   noConfig: 'no_config',
   overload: 'overload',
   callerGone: 'caller_gone',
-  /** The entry that a job was handed to was lost, or ended it unfinished; nothing of it runs any more. */
+  /** The entry that a job was handed on to was lost or ended it unfinished; none of its tasks run any more. */
   handOnLost: 'hand_on_lost',
   internal: 'internal'
 } as const
