--- a/packages/coordination/src/health/endpointHealth.test.ts
+++ b/packages/coordination/src/health/endpointHealth.test.ts
@@ -6,7 +6,7 @@
 
 const setUp = (endpoints: number, maxShare = 0.5) => {
   const clock = { now: 0 }
-  const health = new EndpointHealth({ now: () => clock.now, maxShare, backoff: () => BACKOFF_MS })
+  const health = new EndpointHealth({ now: () => clock.now, maxEjectedShare: maxShare, ejectionBackoff: () => BACKOFF_MS })
   for (let n = 0; n < endpoints; n++) health.add(`e${n}`)
   return { clock, health }
 }
@@ -42,7 +42,7 @@
     { name: 'none but those that were done', heard: { done: 20, failed: 0, runMs: 2000 }, aside: false }
   ])('an endpoint of which other entries tell $name is set aside: $aside', ({ heard, aside }) => {
     const { health } = setUp(4)
-    health.heard('e0', heard)
+    health.recordEnds('e0', heard)
     expect(health.stateOf('e0') === HEALTH_STATES.ejected).toBe(aside)
   })
 
@@ -50,7 +50,7 @@
     const { health } = setUp(2)
     for (let n = 0; n < 40; n++) {
       health.succeeded('e1', 100)
-      health.heard('e0', { done: 2, failed: 0, runMs: 1000 })
+      health.recordEnds('e0', { done: 2, failed: 0, runMs: 1000 })
     }
     expect(health.slownessOf('e0')).toBeGreaterThan(health.slownessOf('e1') * 2)
   })
@@ -78,7 +78,7 @@
     clock.now = BACKOFF_MS
     health.maySend('e0')
     health.sent('e0')
-    health.unsent('e0')
+    health.inconclusive('e0')
     expect(health.maySend('e0')).toBe(true)
   })
 })
--- a/packages/entry/src/createEntryComponents.ts
+++ b/packages/entry/src/createEntryComponents.ts
@@ -70,7 +70,7 @@
 const createDispatchEvents = (metrics: EntryMetrics, owned: () => OwnedJobs): DispatchEvents => ({
   complete: (job) => owned().complete(job),
   failed: (job, reason, message) => owned().fail(job, reason, message),
-  takenOver: (job) => owned().moved(job),
+  takenOver: (job) => owned().onMoved(job),
   started: (_job, waitedMs) => metrics.queueSeconds.observe(waitedMs / 1000),
   ended: (_job, { outcome, reason, runMs }) => {
     metrics.taskEnds.inc({ outcome, reason })
@@ -90,8 +90,8 @@
   maxRunningOf: (workspace) => admission().maxRunningOf(workspace),
   resumeWindowMs: settings.resumeWindowMs,
   collectTimeoutMs: COLLECT_TIMEOUT_MS,
-  setAsideShare: settings.setAsideShare,
-  setAsideBackoff: createBackoff(EJECTION_BACKOFF, Math.random),
+  maxEjectedShare: settings.setAsideShare,
+  ejectionBackoff: createBackoff(EJECTION_BACKOFF, Math.random),
   isEvacuated: (zone) => watch().isEvacuated(zone),
   defer: queueMicrotask
 })
@@ -104,7 +104,7 @@
   claims,
   dispatcher,
   saveTimeoutMs: SAVE_ANSWER_TIMEOUT_MS,
-  observe: (job, { state, reason, run }) => {
+  onAnswer: (job, { state, reason, run }) => {
     metrics.jobs.inc({ state, reason })
     log('job_over', { workspace: job.workspace, job: job.id, state, reason, run, ms: Math.round(systemClock.now() - job.arrivedAt) })
   }
@@ -131,7 +131,7 @@
   const metrics = createEntryMetrics(base)
   const stores = createStores(settings, metrics)
   const { table, objects, group, configStore } = stores
-  const watch = createConfigWatch(settings, configStore, () => dispatcher.pumpAll())
+  const watch = createConfigWatch(settings, configStore, () => dispatcher.scheduleAll())
   const directory = new EntryDirectory({
     table,
     group,
@@ -139,7 +139,7 @@
     self: () => ({ entryId, incarnation, apiAddress: addresses.api, sessionAddress: addresses.session }),
     heartbeatMs: settings.heartbeatMs,
     staleAfterMs: settings.staleAfterMs,
-    rowMemoryMs: settings.answerWindowMs,
+    rowRetentionMs: settings.answerWindowMs,
     configVersion: () => watch.version,
     onChange: onEntries
   })
@@ -151,7 +151,7 @@
   const admission = new Admission({
     clock: systemClock,
     dispatcher,
-    find: (name) => watch.find(name),
+    findConfig: (name) => watch.find(name),
     entryCount: () => directory.serving.length,
     maxQueued: settings.maxQueued
   })
@@ -213,7 +213,7 @@
   const base = createMetrics()
   const peers = new PeerClients(settings.clusterToken)
   const core = createCore(settings, identity, base, () => {
-    sessions.spreadEntries()
+    sessions.broadcastEntries()
     peers.retainOnly(new Set(core.directory.live.map(({ sessionAddress }) => sessionAddress)))
   })
   const { directory, dispatcher, watch: configWatch, owned: ownedJobs, claims, metrics, configStore } = core
@@ -226,10 +226,10 @@
     },
     entryId: identity.entryId,
     incarnation: identity.incarnation,
-    pulse: { busy: keepAliveTimes, idle: keepAliveTimes },
+    keepAlive: { busy: keepAliveTimes, idle: keepAliveTimes },
     entries: () => directory.serving.map(({ sessionAddress }) => ({ address: sessionAddress, zone: '' }))
   })
-  const announcement = new EntryAnnouncement({ clock, directory, introduce: peers.introduce, seenAfterMs: settings.staleAfterMs })
+  const announcement = new EntryAnnouncement({ clock, directory, introduce: peers.introduce, visibleAfterMs: settings.staleAfterMs })
   const jobs = createJobService(settings, identity, core, peers, announcement)
   const readiness = new Readiness({ clock, watch: configWatch, dispatcher, directory, announcement, peers, warmUpMs: settings.heartbeatMs * WARM_UP_HEARTBEATS })
   const clusterView = createClusterView(identity, core, peers, readiness)
--- a/packages/entry/src/http/authenticate.ts
+++ b/packages/entry/src/http/authenticate.ts
@@ -74,6 +74,6 @@
     const isAllowed = requiredRole === TOKEN_ROLES.caller || role === TOKEN_ROLES.operator
     return isAllowed ? ok({ caller: { isAdmin: false, role }, config }) : fail(notRunError(REASONS.forbidden, `a token with the role ${requiredRole} is needed`))
   }
-  const isTokenOfOtherWorkspace = configWatch.names.some((name) => findRole(configWatch.find(name)!, hash) !== undefined)
+  const isTokenOfOtherWorkspace = configWatch.workspaceNames.some((name) => findRole(configWatch.find(name)!, hash) !== undefined)
   return fail(isTokenOfOtherWorkspace || admin.ok ? workspaceNotFound : unauthorized)
 }
--- a/packages/entry/src/http/configHandlers.ts
+++ b/packages/entry/src/http/configHandlers.ts
@@ -106,7 +106,7 @@
 export const listWorkspaces: ApiHandler = ({ settings, configWatch }, { req, res }) => {
   const auth = authenticateAdmin(req, settings.adminToken)
   if (!auth.ok) return sendError(res, auth.err)
-  const workspaces = configWatch.names.map((name) => toView(configWatch.find(name)!.record))
+  const workspaces = configWatch.workspaceNames.map((name) => toView(configWatch.find(name)!.record))
   sendMessage(res, 200, WorkspaceListSchema, create(WorkspaceListSchema, { workspaces }))
 }
 
--- a/packages/lab/src/labSession.ts
+++ b/packages/lab/src/labSession.ts
@@ -80,7 +80,7 @@
       ...common,
       process: agent.process,
       empty: () => create(AgentFrameSchema),
-      stamp: (frame) => { if (this.agentSide.isOpen) agent.host.stamp(entry.incarnation, frame) },
+      stamp: (frame) => { if (this.agentSide.isOpen) agent.host.fillFrame(entry.incarnation, frame) },
       bytesOf: (frame) => frameBytes + toBinary(AgentFrameSchema, frame).length,
       deliver: (frame, ms, bytes) => options.arrive(ms, bytes, entry.process, () => this.atEntry(frame))
     })
@@ -120,7 +120,7 @@
 
   private stamp (frame: EntryFrame): void {
     frame.ackedSeq = this.acked
-    if (this.handle !== undefined && this.entrySide.isOpen) this.options.entry.dispatcher.sessions.stamp(this.handle, frame)
+    if (this.handle !== undefined && this.entrySide.isOpen) this.options.entry.dispatcher.sessions.fillFrame(this.handle, frame)
   }
 
   private atEntry (frame: AgentFrame): void {
