--- a/packages/lab/src/bound.ts
+++ b/packages/lab/src/bound.ts
@@ -14,12 +14,13 @@
 
 interface WaitingJob {
   arrival: Arrival
-  /** Tasks not begun, longest first. */
+  /** Indexes of the tasks that are not started, longest first. */
   unstarted: number[]
+  /** Number of tasks that have not ended. */
   unfinished: number
 }
 
-/** Way of the request and of its answer. */
+/** Network delay of the request and of its answer. */
 const CLIENT_ROUND_TRIP_MS = 2
 
 const createEndpoints = ({ endpoints: { count, cpuMilli, memoryMb, sizes, speeds } }: Scenario): IdealEndpoint[] =>
@@ -34,24 +35,25 @@
 
 const workOf = ({ arrival: { job } }: WaitingJob): number => job.tasks.reduce((sum, { runMs, need }) => sum + runMs * need.cpuMilli, 0)
 
-/** Each is the best one under some load. */
+/** Queue orders; each is the best one under some load. */
 const JOB_ORDERS: JobOrder[] = [
   (a, b) => dueAt(a) - a.arrival.job.longestRunMs - dueAt(b) + b.arrival.job.longestRunMs,
   (a, b) => a.arrival.job.kind.priority - b.arrival.job.kind.priority || dueAt(a) - dueAt(b),
-  // What each millisecond of an endpoint earns.
+  // Highest weight per unit of work first.
   (a, b) => b.arrival.job.weight / workOf(b) - a.arrival.job.weight / workOf(a)
 ]
 
 /**
- * Plays the same load with one queue that knows every run time and all room at
- * once, without any way or fault: what is left of a figure below it is due to
- * information that comes late, to faults, or to the decisions.
+ * Runs the same load with one central queue that knows every run time and all free
+ * capacity, without network delays inside the system and without faults. The gap between
+ * a figure and this reference is due to delayed information, faults, or the decisions.
  *
- * It is greedy, by the best of three orders: jobs that cannot be in time any more
- * by their true run time are refused. A better plan may exist.
+ * The schedule is greedy, with the best of three orders, and refuses a job once its actual
+ * run time no longer fits its objective. A better schedule may exist.
  *
- * @param scenario - its troubles change the traffic only
- * @param seed - as for a run
+ * @param scenario - only those of its troubles that change the traffic apply
+ * @param seed - the same seed gives the same traffic as for `runScenario`
+ * @returns the figures of the order with the highest `worth`
  */
 export const runBound = async (scenario: Scenario, seed: number): Promise<Figures> => {
   const results: Figures[] = []
@@ -72,7 +74,7 @@
     const { need, runMs, fails } = waiting.arrival.job.tasks[waiting.unstarted.shift()!]!
     endpoint.free.cpuMilli -= need.cpuMilli
     endpoint.free.memoryMb -= need.memoryMb
-    // One that fails runs again at once.
+    // A task that fails is retried once, at once and at the same endpoint.
     clock.after(runMs / endpoint.speed * (fails ? 2 : 1), () => {
       endpoint.free.cpuMilli += need.cpuMilli
       endpoint.free.memoryMb += need.memoryMb
--- a/packages/lab/src/createLabEndpointClient.ts
+++ b/packages/lab/src/createLabEndpointClient.ts
@@ -3,17 +3,17 @@
 import type { LabEndpoint } from './labEndpoint.js'
 import type { LabProcess } from './labProcess.js'
 
-/** Processor time of a call at the agent, by a profile of the platform's adapter: sending and reading, each. */
+/** CPU time at the agent to send a call, and again to read its answer, in ms; that of the platform's adapter. */
 const CALL_CPU_MS = 0.08
-/** Way to the endpoint beside it, and back, each. */
+/** One-way delay between an agent and its endpoint. */
 const ONE_WAY_MS = 0.3
 
 /**
- * An agent's calls to one life of its endpoint, with the time limits that it learns.
+ * An agent's client of one incarnation of its endpoint, with timeouts that adapt to response times.
  *
- * @param process - the agent's
- * @param endpoint - the life beside it
- * @param onUnanswered - told of each call without an answer: it cost a connection
+ * @param process - the agent's process
+ * @param endpoint - the incarnation that is called
+ * @param onUnanswered - called for each call without an answer in time, which costs a connection
  */
 export const createLabEndpointClient = (process: LabProcess, endpoint: LabEndpoint, onUnanswered: () => void): LeasedEndpoint => {
   const times = new ResponseTimes()
--- a/packages/lab/src/drawJob.ts
+++ b/packages/lab/src/drawJob.ts
@@ -3,28 +3,28 @@
 import type { SimulatedTask } from './labEndpoint.js'
 import type { JobKind } from './scenario.js'
 
-/** A job as the world knows it. */
+/** A job with the actual run times of its tasks, which the decisions under test do not see. */
 export interface SimulatedJob {
   id: string
   kind: JobKind
   tasks: SimulatedTask[]
-  /** The caller's guess of one task's run time, in ms. */
+  /** The caller's estimate of one task's run time, in ms. */
   estimateMs: number
-  /** Longest run of its tasks at an endpoint of usual speed, in ms. */
+  /** Run time of its longest task at an endpoint of speed 1, in ms. */
   longestRunMs: number
-  /** Its weight in all figures, by the worth of its kind: 0.3, and 0.7 by its work against the mean of its kind, at most 4. */
+  /** Its weight in all figures: the worth of its kind, times 0.3 plus 0.7 of its work relative to the mean work of its kind, at most 4. */
   weight: number
 }
 
 const meanWork = ({ tasks, runMs, cpuMilli }: JobKind): number => tasks * runMs * cpuMilli
 
 /**
- * Draws a job's size, run times and guess.
+ * Draws a job's size, run times and estimate.
  *
- * @param random - a source of its own
- * @param kind - what it is drawn from
- * @param id - its name
- * @param isHopeless - every task fails
+ * @param random - the random stream of this kind
+ * @param kind - gives the means and spreads
+ * @param id - id of the job
+ * @param isHopeless - if true, every task fails
  */
 export const drawJob = (random: Random, kind: JobKind, id: string, isHopeless: boolean): SimulatedJob => {
   const count = Math.min(kind.tasksMost, Math.max(1, Math.round(drawLogNormal(random, kind.tasks, kind.tasksSpread))))
--- a/packages/lab/src/drawScenario.ts
+++ b/packages/lab/src/drawScenario.ts
@@ -3,7 +3,7 @@
 import { checkScenario } from './scenario.js'
 import type { Scenario, Trouble } from './scenario.js'
 
-/** Purpose of the source that scenarios are drawn from. */
+/** Random stream that scenarios are drawn from. */
 const SCENARIO_STREAM = 63
 const SECONDS = 15
 const TROUBLE_DRAWS: Array<(at: number, random: Random) => Trouble> = [
@@ -22,13 +22,13 @@
 ]
 
 const drawUniform = (random: Random, from: number, to: number): number => from + random() * (to - from)
-/** Small and large alike. */
+/** Uniform in the logarithm, so that each order of magnitude is equally likely. */
 const drawLogUniform = (random: Random, from: number, to: number): number => from * (to / from) ** random()
 
 /**
- * A scenario of sizes, mixes and troubles that nobody chose: 2 to 20 endpoints,
- * one kind of job or up to six, tasks of 20 ms to 8 s, guesses wrong by up to
- * ten times, a load of a third of the capacity to a fifth over it, and two or
+ * Draws a random scenario, so that decisions are also tested under conditions that nobody
+ * selected by hand: 2 to 20 endpoints, one to six kinds of jobs, tasks of 20 ms to 8 s,
+ * estimates wrong by up to ten times, a load from 0.35 to 1.2 of the capacity, and two or
  * three troubles.
  *
  * @param seed - the same seed gives the same scenario
--- a/packages/lab/src/eventClock.ts
+++ b/packages/lab/src/eventClock.ts
@@ -3,15 +3,15 @@
 
 interface ScheduledEvent {
   at: number
-  /** Events of the same time happen in the order in which they were set. */
+  /** Events of the same time fire in the order in which they were scheduled. */
   order: number
   fn: (() => void) | undefined
 }
 
-/** Resolves once all promises that are ready have been followed. */
+/** Resolves once all pending promise callbacks have run. */
 const flushPromises = (): Promise<void> => new Promise((resolve) => { setImmediate(resolve) })
 
-/** A clock that jumps from event to event. */
+/** Clock of a discrete-event simulation: time advances from one scheduled event to the next. */
 export class EventClock implements Clock {
   private time = 0
   private nextOrder = 0
@@ -29,9 +29,9 @@
   sleep = (ms: number): Promise<void> => new Promise((resolve) => { this.after(ms, resolve) })
 
   /**
-   * Lets everything happen that is due until then.
+   * Fires all events that are due up to a time, and those they schedule before it.
    *
-   * @param until - in ms
+   * @param until - time on this clock, in ms
    */
   async runUntil (until: number): Promise<void> {
     await flushPromises()
--- a/packages/lab/src/figures.ts
+++ b/packages/lab/src/figures.ts
@@ -1,68 +1,73 @@
 import type { Arrival } from './traffic.js'
 
-/** How an arrival ended for its caller. */
+/** How a job ended for its caller; `left` is a caller that stopped waiting. */
 export type CallerEnd = 'complete' | 'failed' | 'refused' | 'left'
 
-/** An arrival with its end. */
+/** A job's arrival and how it ended. */
 export interface Outcome {
   arrival: Arrival
   end: CallerEnd
   /** From the first send to the answer, in ms. */
   responseMs: number
-  /** Refused while an endpoint had room for one of its tasks. */
+  /** Refused while an endpoint had free capacity for one of its tasks. */
   hadFreeCapacity: boolean
 }
 
-/** What a run counts besides outcomes. */
+/** What a run of a scenario counts besides the outcomes of jobs. */
 export interface Counts {
   frames: number
   bytes: number
-  /** Shares of a core that processes of each role used on average, as far as they are charged. */
+  /** Cores that a process of each role used on average, for the work that has a simulated CPU cost. */
   entryCores: number
   agentCores: number
   starts: number
-  /** Starts that found no room. */
+  /** Starts that agents refused for lack of free capacity. */
   startsInVain: number
-  /** Calls of endpoints that cost a connection each. */
+  /** Calls to endpoints that got no answer in time; each costs a connection. */
   connections: number
-  /** Core-seconds of work stopped, lapsed or failed. */
+  /** Core-seconds of runs that were stopped, whose run lease expired, or that failed. */
   wasted: number
   tasksDone: number
-  /** Looks at the world while a job waited anywhere, and the free part of all capacity at each, summed up. */
+  /** Samples taken while a job waited at any entry, and the sum over them of the free share of all capacity. */
   waitingSamples: number
   idleShareSum: number
-  /** Two runs of a task at a time, or an endpoint over its capacity: bugs. */
+  /** Violated invariants, each a bug: two runs of a task at a time, or an endpoint over its capacity. */
   violations: string[]
 }
 
-/** Figures of a run, all between 0 and 1 unless said otherwise; higher is better for the first five. */
+/** Figures of a run of a scenario: shares from 0 to 1 unless stated otherwise. Higher is better up to `largest`, lower is better after it. */
 export interface Figures {
-  /** Value earned over value asked: whole in time, a fifth up to three times the objective, by weight. */
+  /** Earned share of the weight of all jobs: a job in time earns all of its weight, one within three times its objective a fifth. */
   worth: number
+  /** Share of the jobs that are answered within their objective. */
   inTime: number
+  /** `worth` of the worst kind of job. */
   worstKind: number
+  /** `worth` of the worst zone. */
   worstZone: number
-  /** The two worst windows of two seconds. */
+  /** Mean `worth` of the two worst windows of two seconds. */
   worstWindows: number
-  /** The largest tenth of the jobs of each kind. */
+  /** `worth` of the largest tenth of the jobs of each kind. */
   largest: number
   refused: number
-  /** Of all: refused while an endpoint had room. */
+  /** Share of all jobs: refused while an endpoint had free capacity. */
   refusedWithRoom: number
-  /** Of all: refused after more than a quarter of the objective. */
+  /** Share of all jobs: refused after more than a quarter of their objective. */
   refusedLate: number
-  /** Free part of all capacity while a job waited anywhere. */
+  /** Mean free share of all capacity while a job waited at any entry. */
   idleWhileWaiting: number
-  /** Mean of response time over the longest run, of those served. */
+  /** Mean of the response time divided by the longest run, over completed jobs. */
   slowdown: number
   framesPerTask: number
   bytesPerTask: number
-  /** Shares of a core. */
+  /** Mean cores used by a process. */
   entryCores: number
   agentCores: number
+  /** Share of the starts that agents refused for lack of free capacity. */
   startsInVain: number
+  /** Calls to endpoints that got no answer in time. */
   connections: number
-  /** Core-seconds. */
+  /** Core-seconds of runs that did not succeed. */
   wasted: number
   violations: number
 }
@@ -78,7 +83,7 @@
   return responseMs <= LATE_FACTOR * objectiveMs ? LATE_VALUE : 0
 }
 
-/** Nobody is owed an answer who left before it could come in time, or whose job cannot be done. */
+/** Leaves out jobs whose caller would leave before the objective and jobs that cannot succeed, as no decision can change their result. */
 const isCounted = ({ arrival: { job, patienceMs, objectiveMs } }: Outcome): boolean =>
   patienceMs >= objectiveMs && !job.tasks.every(({ fails }) => fails)
 
@@ -110,19 +115,19 @@
 const shareOf = (outcomes: Outcome[], matches: (outcome: Outcome) => boolean): number =>
   outcomes.length === 0 ? 0 : outcomes.filter(matches).length / outcomes.length
 
-/** Share in time of each second, for plots. */
+/** Share of the jobs in time by second of arrival; null for a second without jobs. */
 export const inTimeBySecond = (outcomes: Outcome[], seconds: number): Array<number | null> =>
   Array.from({ length: Math.ceil(seconds) }, (_, second) => {
     const arrived = outcomes.filter((outcome) => isCounted(outcome) && Math.floor(outcome.arrival.at / 1000) === second)
     return arrived.length === 0 ? null : shareOf(arrived, (outcome) => valueOf(outcome) === 1)
   })
 
-/** Nothing counted yet. */
+/** Counts at the start of a run. */
 export const createCounts = (): Counts => ({
   frames: 0, bytes: 0, entryCores: 0, agentCores: 0, starts: 0, startsInVain: 0, connections: 0, wasted: 0, tasksDone: 0, waitingSamples: 0, idleShareSum: 0, violations: []
 })
 
-/** Sums a run up. */
+/** Computes the figures of a run. */
 export const computeFigures = (all: Outcome[], counts: Counts): Figures => {
   const outcomes = all.filter(isCounted)
   const served = outcomes.filter(({ end }) => end === 'complete')
--- a/packages/lab/src/frameSender.ts
+++ b/packages/lab/src/frameSender.ts
@@ -1,26 +1,26 @@
 import type { Clock } from '@hazellift/common'
 import type { LabProcess } from './labProcess.js'
 
-/** What a side of a session sends through. */
+/** Options of a `FrameSender`. */
 export interface FrameSenderOptions<Frame> {
   clock: Clock
   process: LabProcess
-  /** Processor time of a frame, in ms of a whole core. */
+  /** CPU time to send a frame, in ms of a whole core. */
   cpuMs: number
-  /** Time of the way. */
+  /** One-way network delay. */
   delayMs: number
   createFrame: () => Frame
-  /** Fills in what every frame carries, as it leaves. */
+  /** Adds the present values to a frame just before it is sent. */
   fillFrame: (frame: Frame) => void
-  /** Its size on the wire. */
+  /** Size of a frame on the wire, in bytes. */
   sizeOf: (frame: Frame) => number
-  /** The frame is on its way. */
+  /** Hands a sent frame over for delivery after a delay. */
   deliver: (frame: Frame, delayMs: number, bytes: number) => void
 }
 
-/** What one side of a session sends: parts that are ready together go in one frame. */
+/** Sends the frames of one side of a session; changes that are added before a frame is sent share it. */
 export class FrameSender<Frame> {
-  /** When the last frame left. */
+  /** When the last frame was sent. */
   sentAt: number
   private pending: Frame | undefined
   private lastArrivalAt = 0
@@ -43,7 +43,7 @@
     this.pending = undefined
     fillFrame(frame)
     this.sentAt = clock.now()
-    // One stream: no frame overtakes another.
+    // Frames share one stream and arrive in order.
     const bytes = sizeOf(frame)
     this.lastArrivalAt = Math.max(clock.now() + process.send(bytes) + delayMs, this.lastArrivalAt)
     deliver(frame, this.lastArrivalAt - clock.now(), bytes)
--- a/packages/lab/src/index.ts
+++ b/packages/lab/src/index.ts
@@ -1,4 +1,4 @@
-/** An emulator of entries, agents and endpoints on an event clock, to measure decisions with; for development only. */
+/** A discrete-event simulation of entries, agents and endpoints that measures the real decisions under loads and faults; for development only. */
 export * from './figures.js'
 export * from './runScenario.js'
 export * from './scenario.js'
--- a/packages/lab/src/lab.test.ts
+++ b/packages/lab/src/lab.test.ts
@@ -11,8 +11,8 @@
 
 const scenarioOf = (name: string): Scenario => readScenario(new URL(`../scenarios/${name}.toml`, import.meta.url).pathname)
 
-describe('decisions under replayed loads', () => {
-  // Each bound lies between what the code did before the change that it guards, and what it does since.
+describe('decisions under simulated loads', () => {
+  // Each bound guards an improvement of the decisions: without it the figure is below the bound.
   const cases: Array<{ name: string, seed: number, figure: 'inTime' | 'worth' | 'worstKind' | 'worstWindows', atLeast: number }> = [
     { name: 'lost-orders', seed: 1, figure: 'inTime', atLeast: 0.96 },
     { name: 'lost-orders', seed: 2, figure: 'worstKind', atLeast: 0.95 },
@@ -26,14 +26,14 @@
     expect(figures[figure]).toBeGreaterThanOrEqual(atLeast)
   })
 
-  it('a busy fleet with weak entries spends few frames and bytes on a task', async () => {
+  it('a busy fleet with weak entries needs few frames, bytes and refused starts for a task', async () => {
     const { figures } = await runScenario(scenarioOf('large-busy'), 1, POLICY)
     expect(figures.framesPerTask).toBeLessThan(15)
     expect(figures.bytesPerTask).toBeLessThan(2600)
     expect(figures.startsInVain).toBeLessThan(0.13)
   })
 
-  it('the same seed gives the same bits', async () => {
+  it('two runs with the same seed give exactly the same result', async () => {
     const scenario = { ...scenarioOf('faults'), seconds: 8 }
     const runs = [await runScenario(scenario, 3, POLICY), await runScenario(scenario, 3, POLICY)]
     expect(runs[0]).toEqual(runs[1])
@@ -45,24 +45,24 @@
     expect(violations).toEqual([])
   })
 
-  it('every variant plays', async () => {
+  it('every variant runs a calm load without violations', async () => {
     const scenario = { ...scenarioOf('calm'), seconds: 2 }
     for (const policy of VARIANTS.values()) expect((await runScenario(scenario, 1, policy)).figures.violations).toBe(0)
   })
 
-  it('one queue that knows everything is in time with nearly all of a calm load', async () => {
+  it('the central queue of the bound earns nearly all of the worth of a calm load', async () => {
     expect((await runBound(scenarioOf('calm'), 1)).worth).toBeGreaterThan(0.99)
   })
 })
 
 describe('traffic', () => {
-  it('depends on the seed alone', () => {
+  it('is the same for the same seed and differs for another', () => {
     const scenario = scenarioOf('burst')
     expect(drawTraffic(scenario, 5)).toEqual(drawTraffic(scenario, 5))
     expect(drawTraffic(scenario, 5)).not.toEqual(drawTraffic(scenario, 6))
   })
 
-  it('a burst brings as many times the jobs', () => {
+  it('a burst multiplies the arrival rate by its factor', () => {
     const perSecond = (from: number, to: number): number => {
       const counts = [1, 2, 3, 4, 5].map((seed) => drawTraffic(scenarioOf('burst'), seed)
         .filter(({ at }) => at >= from * 1000 && at < to * 1000).length / (to - from))
@@ -75,23 +75,23 @@
 describe('scenario files', () => {
   const good = { name: 'x', seconds: 1, entries: { count: 1 }, endpoints: { count: 1, cpuMilli: 1000 }, kinds: [{ name: 'k', perSecond: 1, tasks: 1, runMs: 10, cpuMilli: 100, priority: 0, attempts: 1 }] }
   const bad: Array<{ name: string, change: object, message: RegExp }> = [
-    { name: 'a key that is missing', change: { seconds: undefined }, message: /^x\.toml: seconds: / },
-    { name: 'a key that nobody knows', change: { second: 1 }, message: /^x\.toml: the file: .*second/ },
+    { name: 'a missing key', change: { seconds: undefined }, message: /^x\.toml: seconds: / },
+    { name: 'an unknown key', change: { second: 1 }, message: /^x\.toml: the file: .*second/ },
     { name: 'a value out of bounds', change: { entries: { count: 0 } }, message: /^x\.toml: entries\.count: / },
-    { name: 'a trouble that nobody knows', change: { troubles: [{ kind: 'storm', at: 1 }] }, message: /^x\.toml: troubles\.0\.kind: / },
-    { name: 'a burst of a kind that there is not', change: { troubles: [{ kind: 'burst', at: 1, for: 1, x: 2, of: 'y' }] }, message: /^x\.toml: troubles\.of: / }
+    { name: 'an unknown kind of trouble', change: { troubles: [{ kind: 'storm', at: 1 }] }, message: /^x\.toml: troubles\.0\.kind: / },
+    { name: 'a burst of an unknown kind of job', change: { troubles: [{ kind: 'burst', at: 1, for: 1, x: 2, of: 'y' }] }, message: /^x\.toml: troubles\.of: / }
   ]
-  it.each(bad)('$name is named with file and reason', ({ change, message }) => {
+  it.each(bad)('$name is rejected with the file, the key and the reason', ({ change, message }) => {
     expect(() => checkScenario({ ...good, ...change }, 'x.toml')).toThrow(message)
   })
 
-  it('a file that cannot be read is named', () => {
+  it('a file that cannot be read is rejected with a ScenarioError', () => {
     expect(() => readScenario('/nowhere.toml')).toThrow(ScenarioError)
   })
 })
 
 describe('statistics', () => {
-  it('pairs take out what seeds differ by', () => {
+  it('the difference of pairs excludes the variation between seeds', () => {
     const first = [0.1, 0.5, 0.9]
     const second = [0.2, 0.6, 1.0]
     expect(estimateDifference(first, second).mean).toBeCloseTo(0.1)
--- a/packages/lab/src/labEndpoint.ts
+++ b/packages/lab/src/labEndpoint.ts
@@ -4,15 +4,15 @@
 import type { Resources } from '@hazellift/decisions'
 import { REASONS } from '@hazellift/protocol'
 
-/** What a task does once it runs. */
+/** What a task does when it runs. */
 export interface SimulatedTask {
-  /** Run time at an endpoint of usual speed, in ms. */
+  /** Run time at an endpoint of speed 1, in ms. */
   runMs: number
   fails: boolean
   need: Resources
 }
 
-/** What the world knows of runs, over all endpoints. */
+/** Gives endpoints the tasks to run, and is notified of the runs of all endpoints. */
 export interface RunObserver {
   taskOf: (run: RunRef) => SimulatedTask
   onStarted: (run: RunRef) => void
@@ -23,9 +23,9 @@
 interface Run extends RunRef {
   task: SimulatedTask
   startedAt: number
-  /** Work left, as run time at an endpoint of usual speed. */
+  /** Remaining run time at an endpoint of speed 1, as of `updatedAt`. */
   remainingMs: number
-  /** When `leftMs` was worked out. */
+  /** When `remainingMs` was last computed. */
   updatedAt: number
   cancel: () => void
 }
@@ -35,12 +35,12 @@
   cancel: () => void
 }
 
-/** Orders that get no answer are carried out after a time between these. */
+/** Starts and stops that get no answer are carried out after a delay in this range. */
 const LATE_ORDER_DELAY_MS = { from: 2000, to: 12_000 }
 
-/** One life of an endpoint. */
+/** One incarnation of a simulated endpoint, which runs tasks under a run lease. */
 export class LabEndpoint {
-  /** Orders without an answer. */
+  /** Share of the orders that get no answer. */
   lostOrderShare = 0
   isFailing = false
   isUp = true
@@ -54,11 +54,11 @@
   private slowdown = 1
 
   /**
-   * @param clock - the world's
-   * @param capacity - what it offers
-   * @param speed - against usual run times; 1 is usual, 2 twice as fast
-   * @param random - decides on lost orders
-   * @param observer - told of every run
+   * @param clock - clock of the simulation
+   * @param capacity - what its runs may use together
+   * @param speed - divides run times: 2 is twice as fast as 1
+   * @param random - selects the orders that get no answer
+   * @param observer - gives the tasks and is notified of every run
    */
   constructor (
     private readonly clock: Clock,
@@ -68,7 +68,7 @@
     private readonly observer: RunObserver
   ) {}
 
-  /** What is not used. */
+  /** Capacity that no run uses. */
   get free (): Resources {
     const free = { ...this.capacity }
     for (const { task: { need } } of this.runs.values()) {
@@ -78,14 +78,14 @@
     return free
   }
 
-  /** From now on runs take so many times as long; Infinity for standing still. */
+  /** Makes runs take this many times as long from now on; Infinity stops their progress. */
   setSlowdown (slowdown: number): void {
     for (const run of this.runs.values()) this.updateRemaining(run)
     this.slowdown = slowdown
     for (const run of this.runs.values()) this.schedule(run)
   }
 
-  /** It is gone, and with it all that ran there. */
+  /** Ends the endpoint and all its runs; it answers nothing afterwards. */
   crash (): void {
     this.isUp = false
     for (const run of [...this.runs.values()]) this.finish(run, RUN_ENDS.lapsed)
--- a/packages/lab/src/labLink.ts
+++ b/packages/lab/src/labLink.ts
@@ -5,7 +5,7 @@
 import type { LabProcess } from './labProcess.js'
 import { LabSession } from './labSession.js'
 
-/** An entry's process. */
+/** An entry's process and what runs in it. */
 export interface LabEntry {
   process: LabProcess
   zone: string
@@ -13,7 +13,7 @@
   dispatcher: LeasedDispatcher
 }
 
-/** An agent's process. */
+/** An agent's process and what runs in it. */
 export interface LabAgent {
   process: LabProcess
   id: string
@@ -22,27 +22,27 @@
   host: LeasedHost
 }
 
-/** How often a side shows that it lives, and how long it bears silence. */
+/** How often a side sends at least, and after how much silence of the other it times out; shorter while tasks are outstanding. */
 export interface SideTimes {
   busy: { keepAliveMs: number, timeoutMs: number }
   idle: { keepAliveMs: number, timeoutMs: number }
 }
 
-/** Times and costs of sessions, in ms. */
+/** Delays, timeouts and costs of sessions; times in ms. */
 export interface LinkSettings {
   sameZoneMs: number
   crossZoneMs: number
   agent: SideTimes
   entry: SideTimes
-  /** Processor time for each frame, at the side that sends it and at the one that reads it. */
+  /** CPU time for each frame, at the side that sends it and again at the one that reads it. */
   frameCpuMs: number
-  /** Processor time of a new session, at each side. */
+  /** CPU time of a new session at each side. */
   openCpuMs: number
-  /** Bytes of a frame beside the message: headers of HTTP/2, its envelope, TCP and IP. */
+  /** Overhead of a frame in bytes: its envelope and the headers of HTTP/2, TCP and IP. */
   frameBytes: number
 }
 
-/** The same times as on the platform; costs and bytes are assumed, not measured. */
+/** The times of the platform; costs and bytes are estimates. */
 export const LINK_SETTINGS: LinkSettings = {
   sameZoneMs: 0.2,
   crossZoneMs: 0.5,
@@ -53,22 +53,22 @@
   frameBytes: 80
 }
 
-/** What a link needs. */
+/** Options of a `LabLink`. */
 export interface LabLinkOptions {
   clock: Clock
-  /** The processes at its ends now. */
+  /** The current processes at the two ends. */
   agent: () => LabAgent
   entry: () => LabEntry
-  /** Entries that the entry lists. */
+  /** The entries that the entry reports to the agent. */
   entryLocations: () => EntryLocation[]
   settings?: LinkSettings
 }
 
-/** The way between an agent and an entry, with the session that stands on it. */
+/** The network link between an agent and an entry, with their current session. */
 export class LabLink {
-  /** Nothing arrives, and no end of a connection either. */
+  /** If true, nothing is delivered, not even the end of a connection. */
   isSilent = false
-  /** Frames that were read, and bytes sent, of both sides. */
+  /** Frames read and bytes sent, by both sides together. */
   frames = 0
   bytes = 0
   private session: LabSession | undefined
@@ -79,13 +79,13 @@
     this.settings = options.settings ?? LINK_SETTINGS
   }
 
-  /** Holds one session, until both sides have ended. */
+  /** Opens a session; resolves once both sides have ended it, or if it cannot be opened. */
   dial (handle: DialHandle): Promise<void> {
     const { clock, entryLocations } = this.options
     const agent = this.options.agent()
     const entry = this.options.entry()
     return new Promise((resolve) => {
-      // A silent link lets the agent wait, a process that is gone refuses at once.
+      // On a silent link the dial times out; a process that is down refuses at once.
       if (this.isSilent) return clock.after(this.settings.agent.busy.timeoutMs, resolve)
       clock.after(2 * this.delayMs, () => {
         if (!agent.process.isUp || !entry.process.isUp) return resolve()
@@ -108,12 +108,12 @@
     })
   }
 
-  /** A process has ended: its connections are reset. */
+  /** Resets the connection, after the process at one end has ended. */
   reset (): void {
     this.session?.reset()
   }
 
-  /** The link falls silent, or what was held up arrives. */
+  /** Stops delivery, or resumes it and delivers the frames that were delayed. */
   setSilent (isSilent: boolean): void {
     this.isSilent = isSilent
     if (!isSilent) for (const fn of this.delayedFrames.splice(0)) fn()
@@ -123,7 +123,7 @@
     return this.options.agent().zone === this.options.entry().zone ? this.settings.sameZoneMs : this.settings.crossZoneMs
   }
 
-  /** A frame arrives, is held up by a silent link, and is read once the process gets to it. */
+  /** Delivers a frame after its delay, or once the link is no longer silent; the process reads it when it has time. */
   private deliver (delayMs: number, bytes: number, to: LabProcess, fn: () => void): void {
     this.bytes += bytes
     const receive = (): void => to.receive(bytes, () => to.execute(this.settings.frameCpuMs, () => {
--- a/packages/lab/src/labProcess.ts
+++ b/packages/lab/src/labProcess.ts
@@ -1,28 +1,28 @@
 import type { Clock } from '@hazellift/common'
 
 const BITS_PER_BYTE = 8
-/** Bits that a megabit a second carries in a ms. */
+/** Bits that a link of 1 Mbit/s carries in 1 ms. */
 const BITS_PER_MS_OF_MEGABIT = 1000
 
-/** One process of the system: what it does takes its share of a processor, and stops with it. */
+/** A simulated process with limited CPU and bandwidth. Nothing it has scheduled runs while it is frozen or after it is killed. */
 export class LabProcess {
   isUp = true
-  /** Processor time that its work took, in ms of a whole core. */
+  /** CPU time used so far, in ms of a whole core. */
   cpuMs = 0
   private frozenUntil = 0
   private busyUntil = 0
-  /** Until when the machine's link is taken, by direction. */
+  /** Until when the machine's link is busy, by direction. */
   private sendingUntil = 0
   private receivingUntil = 0
 
   /**
-   * @param worldClock - the world's clock
-   * @param cores - its share of a core
-   * @param megabits - what its link carries each way, a second
+   * @param worldClock - clock of the simulation
+   * @param cores - CPU cores that it may use
+   * @param megabits - bandwidth of its link in each direction, in Mbit/s
    */
   constructor (private readonly worldClock: Clock, private readonly cores: number, private readonly megabits = Infinity) {}
 
-  /** The clock that the process's code sees: its timers wait while it stands still, and end with it. */
+  /** The clock of the process's code: timers are delayed while the process is frozen and dropped once it is killed. */
   readonly clock: Clock = {
     now: () => this.worldClock.now(),
     wallNow: () => this.worldClock.wallNow(),
@@ -30,7 +30,7 @@
     sleep: (ms) => new Promise((resolve) => { this.clock.after(ms, resolve) })
   }
 
-  /** Runs something now, or once the process goes on. */
+  /** Calls a function now, or when the process is no longer frozen; not at all once it is killed. */
   run (fn: () => void): void {
     if (!this.isUp) return
     const waitMs = this.frozenUntil - this.worldClock.now()
@@ -39,9 +39,9 @@
   }
 
   /**
-   * Runs something after the work that is ahead of it.
+   * Calls a function after the CPU work that is queued before it and its own.
    *
-   * @param cpuMs - processor time of a whole core
+   * @param cpuMs - CPU time, in ms of a whole core
    */
   execute (cpuMs: number, fn: () => void): void {
     const now = this.worldClock.now()
@@ -51,9 +51,9 @@
   }
 
   /**
-   * Puts bytes on the machine's link, behind those before them.
+   * Sends bytes over the machine's link, after those that are queued there.
    *
-   * @returns until they have left, in ms
+   * @returns time until the last of them is sent, in ms
    */
   send (bytes: number): number {
     const now = this.worldClock.now()
@@ -61,7 +61,7 @@
     return this.sendingUntil - now
   }
 
-  /** Runs something once bytes have come in over the machine's link, behind those before them. */
+  /** Calls a function once bytes have been received over the machine's link, after those that are queued there. */
   receive (bytes: number, fn: () => void): void {
     const now = this.worldClock.now()
     this.receivingUntil = Math.max(now, this.receivingUntil) + this.transmissionMs(bytes)
@@ -73,7 +73,7 @@
     return bytes * BITS_PER_BYTE / (this.megabits * BITS_PER_MS_OF_MEGABIT)
   }
 
-  /** The process stands still. */
+  /** Suspends the process. */
   freeze (ms: number): void {
     this.frozenUntil = Math.max(this.frozenUntil, this.worldClock.now() + ms)
   }
--- a/packages/lab/src/labSession.ts
+++ b/packages/lab/src/labSession.ts
@@ -7,40 +7,40 @@
 import type { LabAgent, LabEntry, LinkSettings, SideTimes } from './labLink.js'
 import type { LabProcess } from './labProcess.js'
 
-/** What a session needs. */
+/** Options of a `LabSession`. */
 export interface LabSessionOptions {
   clock: Clock
   agent: LabAgent
   entry: LabEntry
   settings: LinkSettings
-  /** Time of the way. */
+  /** One-way network delay. */
   delayMs: number
-  /** True while nothing arrives, no end of a connection either. */
+  /** True while the link delivers nothing, not even the end of a connection. */
   isSilent: () => boolean
-  /** A frame is on its way; `fn` reads it. */
+  /** Delivers a frame after a delay; `fn` reads it. */
   deliver: (delayMs: number, bytes: number, to: LabProcess, fn: () => void) => void
-  /** Both sides have ended. */
+  /** Called once both sides have ended. */
   onEnded: () => void
 }
 
-/** One side, as its process sees it. */
+/** State of the session at one of its two processes. */
 interface SessionSide {
   isOpen: boolean
   receivedAt: number
   process: LabProcess
   times: SideTimes
-  /** True while orders are out. */
+  /** True while tasks are outstanding. */
   isBusy: () => boolean
-  /** Tells the program that the session has ended. */
+  /** Notifies the process's code that the session has ended. */
   onEnd: () => void
 }
 
-/** How often silence is looked for. */
+/** How often a side checks whether the other has timed out. */
 const TIMEOUT_CHECK_MS = 125
-/** How often a session that is not wanted any more is looked at. */
+/** How often a retired session is checked for outstanding tasks. */
 const RETIRE_CHECK_MS = 250
 
-/** One session of an agent with an entry, from its dialling until both sides have ended. */
+/** A session of an agent with an entry, from its opening until both sides have ended. */
 export class LabSession {
   private readonly agentSide: SessionSide
   private readonly entrySide: SessionSide
@@ -99,7 +99,7 @@
     this.sendKeepAlives(this.entrySide, this.toAgent)
   }
 
-  /** The agent does not want it any more: it ends once nothing of the entry is left there. */
+  /** Retires the session: the agent ends it once no tasks of the entry are outstanding there. */
   retire (): void {
     const { agent, entry } = this.options
     agent.host.retireSession(entry.incarnation, this.add)
@@ -111,7 +111,7 @@
     agent.process.clock.after(RETIRE_CHECK_MS, check)
   }
 
-  /** A process has ended: its side is gone, and the other one hears of it. */
+  /** Ends both sides, after the process of one of them has ended. */
   reset (): void {
     for (const side of [this.agentSide, this.entrySide]) this.end(side)
   }
@@ -144,7 +144,7 @@
     const other = side === this.agentSide ? this.entrySide : this.agentSide
     side.isOpen = false
     if (side.process.isUp) side.onEnd()
-    // A process that stands still hears of an end later; one that is gone has ended its side itself.
+    // A suspended process is notified when it resumes; the side of a process that is down ends without notice.
     const endOther = (): void => other.process.isUp ? other.process.run(() => this.end(other)) : this.end(other)
     if (other.isOpen && !isSilent()) clock.after(delayMs, endOther)
     if (!other.isOpen) onEnded()
@@ -162,7 +162,7 @@
     side.process.clock.after(TIMEOUT_CHECK_MS, () => this.checkTimeout(side))
   }
 
-  /** Looks as often as a busy session must show that it lives. */
+  /** Sends keep-alives; checks at the interval of a busy session, as the session can become busy at any time. */
   private sendKeepAlives (side: SessionSide, sender: Pick<FrameSender<object>, 'sentAt' | 'add'>): void {
     if (!side.isOpen) return
     const sinceSentMs = this.options.clock.now() - sender.sentAt
--- a/packages/lab/src/labWorld.ts
+++ b/packages/lab/src/labWorld.ts
@@ -18,29 +18,29 @@
 import { LabProcess } from './labProcess.js'
 import type { Scenario } from './scenario.js'
 
-/** The same chain of times as on the platform. */
+/** The lease times of the platform. */
 export const LEASE_TIMES: LeaseTimes = { entryLeaseMs: 600, runLeaseMs: 500, stopMs: 50, clockFactor: 1.02 }
 const POLL_WAIT_MS = 100
 const SWEEP_INTERVAL_MS = 25
-/** How often free room is looked at. */
+/** How often free capacity is sampled while jobs wait. */
 const SAMPLE_INTERVAL_MS = 5
 const MAX_EJECTED_SHARE = 0.4
 const EJECTION_MS = { base: 1000, most: 8000 }
-/** Purposes of random sources; those of the kinds of jobs are the numbers from 0. */
+/** Random streams of this module; the kinds of jobs use the numbers from 0 on. */
 const RANDOM_STREAMS = { entries: 40, endpoints: 50, dialers: 60, troubles: 62 } as const
 
 /** Name of the availability zone of this number. */
 export const zoneName = (zone: number): string => `zone-${zone}`
 
-/** Item of a list that is gone through by turns. */
+/** Assigns the items of a list round-robin. */
 const roundRobin = <T>(items: readonly T[], index: number): T => items[index % items.length]!
 
-/** A place for an entry's process, with the process that runs there now. */
+/** A slot for an entry's process and its current process; a killed one gets a successor. */
 export interface EntrySlot extends LabEntry {
   jobs: LeasedJobs
 }
 
-/** A place for an agent's process beside its endpoint. */
+/** A slot for an agent's process next to its endpoint, with their current incarnations. */
 export interface AgentSlot extends LabAgent {
   index: number
   endpoint: LabEndpoint
@@ -50,7 +50,7 @@
   ended: () => {}, sent: () => {}, moved: () => {}, requeued: () => {}, suspected: () => {}, result: () => {}, agentChanged: () => {}, agentLost: () => {}, configSeen: () => {}, evacuationsChanged: () => {}
 }
 
-/** Entries, agents, endpoints and the links between them, on one event clock. */
+/** The simulated system: entries, agents, endpoints and the links between them, on one event clock. */
 export class LabWorld {
   readonly clock = new EventClock()
   readonly entries: EntrySlot[]
@@ -58,7 +58,7 @@
   /** By agent and entry. */
   readonly links: LabLink[][]
   readonly counts: Counts = createCounts()
-  /** Draws what troubles meet. */
+  /** Random stream that selects what troubles affect. */
   readonly random: Random
   private readonly jobs = new Map<string, SimulatedJob>()
   private readonly running = new Map<string, number>()
@@ -74,17 +74,17 @@
     this.sampleIdleCapacity()
   }
 
-  /** What the world knows of a job from now on. */
+  /** Adds a job, so that endpoints can look up its tasks. */
   addJob (job: SimulatedJob): void {
     this.jobs.set(job.id, job)
   }
 
-  /** True if an endpoint has room for a task. */
+  /** True if an endpoint has free capacity for a task. */
   hasFreeCapacityFor (need: Resources): boolean {
     return this.agents.some(({ endpoint }) => endpoint.isUp && fits(need, endpoint.free))
   }
 
-  /** The process ends, and another one begins after a while. */
+  /** Kills an entry's process and starts a new one after `downMs`. */
   killEntry (index: number, downMs: number): void {
     const entry = this.entries[index]!
     entry.process.kill()
@@ -92,7 +92,7 @@
     this.clock.after(downMs, () => { this.entries[index] = this.newEntry(index) })
   }
 
-  /** The process ends, and another one begins after a while. */
+  /** Kills an agent's process and starts a new one after `downMs`. */
   killAgent (index: number, downMs: number): void {
     const agent = this.agents[index]!
     agent.process.kill()
@@ -103,7 +103,7 @@
     })
   }
 
-  /** The endpoint crashes; another life begins after a while, or never. */
+  /** Crashes an endpoint and starts a new incarnation after `downMs`, or none if it is 0. */
   crashEndpoint (index: number, downMs: number): void {
     const agent = this.agents[index]!
     agent.endpoint.crash()
@@ -115,7 +115,7 @@
     })
   }
 
-  /** Counts room that is free while a job waits. */
+  /** Samples the free share of all capacity while a job waits. */
   private sampleIdleCapacity (): void {
     this.clock.after(SAMPLE_INTERVAL_MS, () => this.sampleIdleCapacity())
     const isWaiting = this.entries.some(({ process, dispatcher }) => process.isUp && dispatcher.waitingJobs > 0)
@@ -127,14 +127,14 @@
     this.counts.idleShareSum += free / Math.max(1, all)
   }
 
-  /** A new version of the configuration is read by all entries that live. */
+  /** Gives a new version of the configuration, of this size, to all entries that are up. */
   changeConfig (bytes: number): void {
     const version = ++this.configVersion
     const document = new Uint8Array(bytes).fill(Number(version))
     for (const { process, dispatcher } of this.entries) if (process.isUp) dispatcher.sessions.setConfig(version, document)
   }
 
-  /** Sums up what links carried and what processes worked. */
+  /** Adds the traffic of all links and the CPU use of all processes to the counts. */
   collectCounts (): void {
     for (const link of this.links.flat()) {
       this.counts.frames += link.frames
@@ -149,7 +149,7 @@
     return new LabLink({ clock: this.clock, agent: () => this.agents[agent]!, entry: () => this.entries[entry]!, entryLocations: () => this.entryLocations })
   }
 
-  /** The rows of entries stay in the store while their processes are away. */
+  /** Entries as the store lists them; a row stays while its process is down. */
   private get entryLocations (): EntryLocation[] {
     return this.entries.map(({ zone }, index) => ({ address: String(index), zone }))
   }
@@ -229,7 +229,7 @@
       taskOf: (run) => this.jobs.get(run.submission)!.tasks[run.index]!,
       onStarted: (run) => this.onStarted(run),
       onEnded: (run, how, ranMs) => this.onEnded(run, how, ranMs),
-      onOverCapacity: () => { this.counts.violations.push(`endpoint ${index} over its capacity at ${this.clock.now()}`) }
+      onOverCapacity: () => { this.counts.violations.push(`endpoint ${index} is over its capacity at ${this.clock.now()} ms`) }
     })
   }
 
@@ -237,7 +237,7 @@
     const name = `${submission}/${index}`
     const runs = (this.running.get(name) ?? 0) + 1
     this.running.set(name, runs)
-    if (runs > 1) this.counts.violations.push(`two runs of ${name} at ${this.clock.now()}`)
+    if (runs > 1) this.counts.violations.push(`two runs of task ${name} at a time at ${this.clock.now()} ms`)
   }
 
   private onEnded ({ submission, index }: RunRef, how: RunEnd, ranMs: number): void {
--- a/packages/lab/src/main.ts
+++ b/packages/lab/src/main.ts
@@ -22,12 +22,12 @@
 
 const parsePositiveInteger = (text: string): number => {
   const value = Number(text)
-  if (!Number.isInteger(value) || value < 1) throw new InvalidArgumentError('a whole number from 1 on')
+  if (!Number.isInteger(value) || value < 1) throw new InvalidArgumentError('Expected a whole number of at least 1.')
   return value
 }
 
 const parseVariant = (text: string): string => {
-  if (!VARIANTS.has(text)) throw new InvalidArgumentError(`one of ${[...VARIANTS.keys()].join(', ')}`)
+  if (!VARIANTS.has(text)) throw new InvalidArgumentError(`Expected one of ${[...VARIANTS.keys()].join(', ')}.`)
   return text
 }
 
@@ -35,7 +35,7 @@
   if (done % PROGRESS_STEP === 0 || done === all) process.stderr.write(`${done} of ${all} runs\n`)
 }
 
-/** Plays each variant on the same seeds. */
+/** Runs each variant with the same seeds; the results are grouped by variant. */
 const runVariants = async (scenario: Scenario, variants: string[], { seeds, firstSeed, threads }: Options): Promise<WorkResult[][]> => {
   const items = variants.flatMap((name) => Array.from({ length: seeds }, (_, index) => ({ scenario, seed: firstSeed + index, variant: name })))
   const results = await runAll(items, printProgress, threads)
@@ -49,7 +49,7 @@
   if (results.some(({ violations }) => violations.length > 0)) process.exitCode = 1
 }
 
-/** Reads each scenario, plays it, and shows what comes of it. */
+/** Reads scenario files, runs them one after the other and prints the results of each; writes plots if a folder is given. */
 const runScenarioFiles = async (files: string[], variants: string[], options: Options, formatResults: (results: WorkResult[][]) => string): Promise<void> => {
   const scenarios = files.map(readScenario)
   for (const scenario of scenarios) {
@@ -60,7 +60,7 @@
   }
 }
 
-/** The same for scenarios drawn from seeds, one run of each. */
+/** Compares two variants on scenarios that are generated from seeds, one run of each. */
 const runDrawnScenarios = async ({ base, other, seeds, firstSeed, threads }: Options & { base: string, other: string }): Promise<void> => {
   const drawn = Array.from({ length: seeds }, (_, index) => firstSeed + index)
   const items = [base, other].flatMap((name) => drawn.map((seed) => ({ scenario: drawScenario(seed), seed, variant: name })))
--- a/packages/lab/src/plot.ts
+++ b/packages/lab/src/plot.ts
@@ -10,10 +10,10 @@
 }
 
 /**
- * Share of answers in time by second of arrival, a line a variant.
+ * Plots the share of jobs in time by second of arrival, with one line for each variant.
  *
- * @param title - above the plot
- * @param series - results of each variant
+ * @param title - title of the plot
+ * @param series - results, grouped by variant
  * @returns an SVG document
  */
 export const plotInTime = (title: string, series: WorkResult[][]): string => {
--- a/packages/lab/src/runAll.ts
+++ b/packages/lab/src/runAll.ts
@@ -3,11 +3,11 @@
 import type { WorkItem, WorkResult } from './worker.js'
 
 /**
- * Plays runs in worker threads.
+ * Runs work items in worker threads.
  *
- * @param items - in any order; the results come in the same
- * @param onDone - told how many are done, for a display
- * @param threads - at most
+ * @param items - the results have the same order
+ * @param onDone - called after each item with the number of finished items and of all, to show progress
+ * @param threads - maximum number of worker threads
  */
 export const runAll = async (items: WorkItem[], onDone: (done: number, all: number) => void, threads = availableParallelism()): Promise<WorkResult[]> => {
   const pool = new Tinypool({ filename: new URL('./worker.js', import.meta.url).href, maxThreads: threads, minThreads: 1 })
--- a/packages/lab/src/runScenario.ts
+++ b/packages/lab/src/runScenario.ts
@@ -10,26 +10,27 @@
 import { drawTraffic } from './traffic.js'
 import type { Arrival } from './traffic.js'
 
-/** A run of a scenario. */
+/** Result of a run of a scenario. */
 export interface LabRun {
   figures: Figures
-  /** Share in time by second of arrival; null where none was asked for. */
+  /** Share of the jobs in time by second of arrival; null for a second without jobs. */
   inTimeBySecond: Array<number | null>
+  /** Violated invariants, each a bug. */
   violations: string[]
 }
 
-/** Sessions stand, and endpoints are known. */
+/** Before the traffic, so that sessions are open and endpoints are announced. */
 const WARM_UP_MS = 2000
-/** After the traffic, until its last answers. */
+/** After the traffic, for its last answers. */
 const COOL_DOWN_MS = 12_000
-/** Way between caller and entry, in ms. */
+/** One-way network delay between caller and entry. */
 const CLIENT_DELAY_MS = 1
-/** A caller whose connection breaks sends again, elsewhere. */
+/** Delay after which a caller whose connection broke sends its request again, to another entry. */
 const RESEND_DELAY_MS = 1300
 /** Headers of a request and of its answer, with TCP and IP. */
 const REQUEST_BYTES = 400
 const ANSWER_BYTES = 250
-/** Processor time of a request at its entry. */
+/** CPU time of a request at its entry; its answer takes half of it. */
 const REQUEST_CPU_MS = 0.4
 
 const specOf = ({ job, patienceMs }: Arrival, { objective }: Scenario, deadlineMs: number): LeasedJobSpec => ({
@@ -48,7 +49,7 @@
   deadlineMs: Math.min(deadlineMs, patienceMs)
 })
 
-/** One caller: sends, waits, sends again if the connection breaks, and leaves when its time is over. */
+/** A caller: sends a job, waits, sends again if the connection breaks, and leaves when its patience is exhausted. */
 class Caller {
   private sendCount = 0
   private hasEnded = false
@@ -87,7 +88,7 @@
     })
   }
 
-  /** A process that dies breaks the connection. */
+  /** Checks every 20 ms whether the entry's process is up, and sends again if its end has broken the connection. */
   private watchConnection (entry: EntrySlot, sendNumber: number): void {
     if (this.hasEnded || this.sendCount !== sendNumber) return
     if (!entry.process.isUp) return this.scheduleResend()
@@ -98,7 +99,7 @@
     this.world.clock.after(RESEND_DELAY_MS, () => this.send())
   }
 
-  /** By zone at first; another one each time after. */
+  /** The first request goes to an entry of the caller's zone if one is up, later ones are spread over the entries of all zones. */
   private chooseEntry (): EntrySlot | undefined {
     const up = this.world.entries.filter(({ process }) => process.isUp)
     const sameZone = up.filter(({ zone }) => zone === zoneName(this.arrival.zone))
@@ -122,11 +123,11 @@
 }
 
 /**
- * Plays a scenario.
+ * Runs a scenario on an event clock.
  *
- * @param scenario - load and troubles
- * @param seed - the same seed gives the same load and, for the same policy, the same bits
- * @param policy - the decisions
+ * @param scenario - the load, the system and the troubles
+ * @param seed - the same seed gives the same load and, with the same policy, exactly the same result
+ * @param policy - the decisions under test
  */
 export const runScenario = async (scenario: Scenario, seed: number, policy: Policy): Promise<LabRun> => {
   const world = new LabWorld(scenario, seed, policy)
--- a/packages/lab/src/scenario.ts
+++ b/packages/lab/src/scenario.ts
@@ -7,112 +7,114 @@
 const share = z.number().min(0).max(1)
 const seconds = z.number().min(0)
 
-/** A kind of job. Sizes and times of single jobs are drawn around the means, with the spread of their logarithm. */
+/** A kind of job. Sizes and times of single jobs are log-normal: a mean, and a spread, which is the standard deviation of the logarithm. */
 const kindSchema = z.strictObject({
   name: z.string().min(1),
-  /** Jobs a second, over all entries. */
+  /** Jobs a second at all entries together. */
   perSecond: z.number().positive(),
   tasks: z.number().min(1),
   tasksSpread: z.number().min(0).default(0.4),
   tasksMost: z.number().min(1).default(1000),
-  /** Run time of a task at an endpoint of usual speed. */
+  /** Run time of a task at an endpoint of speed 1. */
   runMs: z.number().positive(),
   runSpread: z.number().min(0).default(0.4),
-  /** Difference between the tasks of one job. */
+  /** Spread of the run times of the tasks of one job. */
   taskSpread: z.number().min(0).default(0.15),
-  /** How wrong callers guess run times. */
+  /** Spread of the callers' estimates of run times. */
   guessSpread: z.number().min(0).default(0.4),
   cpuMilli: z.number().positive(),
   cpuSpread: z.number().min(0).default(0.2),
   memoryMb: z.number().min(0).default(64),
-  /** 0 goes first. */
+  /** 0 is the highest priority. */
   priority: z.number().int().min(0),
-  /** What a job of mean size is worth, for the figures; nothing that decides knows it. */
+  /** Weight of a job of mean size in the figures; the decisions under test do not see it. */
   worth: z.number().positive().default(1),
   attempts: z.number().int().min(1),
-  /** Tasks that fail by their own fault. */
+  /** Share of the tasks that fail at any endpoint. */
   failShare: share.default(0.002),
-  /** Of a request, and of what its tasks are started with. */
+  /** Size of the request's payload, which is also sent with the start of each task. */
   payloadBytes: z.number().int().min(0).default(0)
 })
 
 const periodFields = { at: seconds, for: seconds.default(0) }
 
-/** What goes wrong; `share` is a part of the endpoints, agents or entries, at least one. */
+/** Faults and changes of the load, from `at` on for `for` seconds; `share` is the affected share of the endpoints, agents, entries or links (at least one, unless it is 0) or of the orders, callers or jobs. */
 const troubleSchema = z.discriminatedUnion('kind', [
-  /** `x` times as many jobs, of one kind or all. */
+  /** `x` times as many jobs, of the kind `of` or of all kinds. */
   z.strictObject({ kind: z.literal('burst'), ...periodFields, x: z.number().min(1), of: z.string().optional() }),
-  /** Orders without an answer; most are carried out seconds later. */
+  /** Orders of agents to endpoints get no answer; starts and stops are carried out seconds later, polls are dropped. */
   z.strictObject({ kind: z.literal('lost_orders'), ...periodFields, share }),
   z.strictObject({ kind: z.literal('slow_endpoints'), ...periodFields, share, x: z.number().min(1) }),
-  /** They fail all that they start. */
+  /** Endpoints at which every task fails. */
   z.strictObject({ kind: z.literal('failing_endpoints'), ...periodFields, share }),
-  /** What they start does not end while it lasts. */
+  /** Endpoints at which no run makes progress meanwhile. */
   z.strictObject({ kind: z.literal('hanging_endpoints'), ...periodFields, share }),
-  /** They crash; others come after `for`, or never if it is 0. */
+  /** Endpoints crash; new incarnations replace them after `for`, or never if it is 0. */
   z.strictObject({ kind: z.literal('lost_endpoints'), ...periodFields, share }),
-  /** They say that they leave, get nothing more, and are gone for good after `for`. */
+  /** Endpoints drain, get no new tasks, and are gone for good after `for`. */
   z.strictObject({ kind: z.literal('leaving_endpoints'), ...periodFields, share }),
   z.strictObject({ kind: z.literal('frozen_agents'), ...periodFields, share }),
   z.strictObject({ kind: z.literal('killed_agents'), ...periodFields, share }),
   z.strictObject({ kind: z.literal('killed_entries'), ...periodFields, share }),
-  /** Links between entries and agents that fall silent. */
+  /** Links between entries and agents that deliver nothing meanwhile. */
   z.strictObject({ kind: z.literal('silent_links'), ...periodFields, share }),
-  /** Callers leave after a part of their time. */
+  /** Share of the callers that leave after a part of their patience. */
   z.strictObject({ kind: z.literal('callers_leave'), ...periodFields, share }),
-  /** Jobs of which every task fails. */
+  /** Share of the jobs of which every task fails. */
   z.strictObject({ kind: z.literal('hopeless_jobs'), ...periodFields, share }),
-  /** The configuration changes, again after each gap; `bytes` as packed. */
+  /** The configuration changes every `gapMs`; `bytes` is the size of the encoded document. */
   z.strictObject({ kind: z.literal('config_changes'), ...periodFields, gapMs: z.number().positive(), bytes: z.number().int().min(1) })
 ])
 
 const scenarioSchema = z.strictObject({
   name: z.string().min(1),
-  /** Length of the traffic. */
+  /** How long jobs arrive. */
   seconds: z.number().positive().max(600),
   zones: z.number().int().min(1).default(3),
   entries: z.strictObject({
     count: z.number().int().min(1),
-    /** Shares of a core, by turns. */
+    /** CPU cores of each entry, assigned round-robin. */
     cores: oneOrMore(z.number().positive()).default([0.675]),
-    /** What their links carry, in Mbit/s, by turns; without bound if none is given. */
+    /** Bandwidth of each entry's link in Mbit/s, assigned round-robin; unlimited if absent. */
     megabits: oneOrMore(z.number().positive()).optional()
   }),
-  /** How many entries an agent holds sessions with. */
+  /** How many entries of its own zone (`near`) and of others (`far`) an agent keeps sessions with. */
   part: z.strictObject({ near: z.number().int().min(0), far: z.number().int().min(0) }).default(SUBSET_LIMITS),
-  /** Clients of each zone; all requests of one go to the entry that its hash gives. Without it requests are spread evenly. */
+  /** Clients of each zone; a client's first requests all go to the entry that its hash selects. If absent, requests are spread evenly. */
   clientsPerZone: z.number().int().min(1).optional(),
   endpoints: z.strictObject({
     count: z.number().int().min(1),
     cpuMilli: z.number().positive(),
     memoryMb: z.number().positive().default(65_536),
-    /** Sizes and speeds by turns. */
+    /** Factors of capacity and of speed, assigned round-robin. */
     sizes: z.array(z.number().positive()).min(1).default([1]),
     speeds: z.array(z.number().positive()).min(1).default([1]),
     agentCores: z.number().positive().default(0.405)
   }),
-  /** Times of the response objective: `stretch` x the longest run and `slackMs`. */
+  /** Response objective of a job: `stretch` times its longest run, plus `slackMs`. */
   objective: z.strictObject({ stretch: z.number().min(1), slackMs: z.number().min(0) }).default({ stretch: 1.6, slackMs: 60 }),
-  /** Time that callers wait, as a multiple of the objective. */
+  /** How long callers wait, as a multiple of the objective. */
   patience: z.number().positive().default(4),
   kinds: z.array(kindSchema).min(1),
   troubles: z.array(troubleSchema).default([])
 })
 
-/** A load and its troubles. */
+/** A load, the system that serves it, and the faults during it. */
 export type Scenario = z.infer<typeof scenarioSchema>
+/** A kind of job of a scenario. */
 export type JobKind = Scenario['kinds'][number]
+/** A fault or a change of the load during a scenario. */
 export type Trouble = Scenario['troubles'][number]
 
-/** A scenario that cannot be used; the message names the file, the key and the reason. */
+/** A scenario file cannot be read or is invalid; the message names the file, the key and the reason. */
 export class ScenarioError extends Error {}
 
 /**
- * Checks a scenario.
+ * Validates a scenario and fills in defaults.
  *
- * @param value - as a TOML file holds it
- * @param source - named in errors
- * @throws BadScenario
+ * @param value - the parsed content of a TOML file
+ * @param source - name of the file, for errors
+ * @throws ScenarioError if the scenario is invalid
  */
 export const checkScenario = (value: unknown, source: string): Scenario => {
   const parsed = scenarioSchema.safeParse(value)
@@ -122,14 +124,14 @@
   }
   const kinds = new Set(parsed.data.kinds.map(({ name }) => name))
   const unmatched = parsed.data.troubles.find((trouble) => trouble.kind === 'burst' && trouble.of !== undefined && !kinds.has(trouble.of))
-  if (unmatched !== undefined) throw new ScenarioError(`${source}: troubles.of: no kind of that name`)
+  if (unmatched !== undefined) throw new ScenarioError(`${source}: troubles.of: must be the name of one of the kinds`)
   return parsed.data
 }
 
 /**
- * Reads a scenario file.
+ * Reads and validates a scenario file.
  *
- * @throws BadScenario if it cannot be read or used
+ * @throws ScenarioError if the file cannot be read or is invalid
  */
 export const readScenario = (path: string): Scenario => {
   let value: unknown
--- a/packages/lab/src/scheduleTroubles.ts
+++ b/packages/lab/src/scheduleTroubles.ts
@@ -3,10 +3,10 @@
 import type { LabWorld } from './labWorld.js'
 import type { Trouble } from './scenario.js'
 
-/** Time from the start of a process to its first session, measured on the platform's machines. */
+/** Time from the start of a process to its first session on the platform's machines, in ms. */
 const PROCESS_START_MS = { entry: 300, agent: 460 }
 
-/** What a trouble does when it begins; the result undoes it. Troubles of the traffic are drawn with it. */
+/** Applies a trouble; the returned function, if any, undoes it. Those that change the traffic are part of `drawTraffic`. */
 const applyTrouble = (world: LabWorld, trouble: Trouble): (() => void) | undefined => {
   const { agents, entries, links, random } = world
   const forMs = trouble.for * 1000
@@ -67,10 +67,10 @@
 }
 
 /**
- * Sets a scenario's troubles.
+ * Schedules a scenario's troubles on the event clock.
  *
- * @param world - where they happen
- * @param startMs - start of the traffic on its clock
+ * @param world - what they affect
+ * @param startMs - when the traffic starts on the world's clock
  */
 export const scheduleTroubles = (world: LabWorld, startMs: number): void => {
   for (const trouble of world.scenario.troubles) {
--- a/packages/lab/src/tables.ts
+++ b/packages/lab/src/tables.ts
@@ -4,7 +4,7 @@
 import type { Estimate } from './statistics.js'
 import type { WorkResult } from './worker.js'
 
-/** Figures in the order of tables, with their decimals. */
+/** Figures in the order of the tables, with their numbers of decimals. */
 const COLUMNS: Array<{ key: keyof Figures, digits: number }> = [
   { key: 'worth', digits: 3 },
   { key: 'inTime', digits: 3 },
@@ -27,7 +27,7 @@
   { key: 'violations', digits: 0 }
 ]
 
-/** Markdown, to be pasted into a page. */
+/** Table style that gives Markdown, for pasting into a page. */
 const MARKDOWN_STYLE = {
   style: { head: [], border: [] },
   chars: { top: '', 'top-mid': '', 'top-left': '', 'top-right': '', bottom: '', 'bottom-mid': '', 'bottom-left': '', 'bottom-right': '', left: '|', 'left-mid': '', mid: '', 'mid-mid': '', right: '|', 'right-mid': '', middle: '|' }
@@ -36,21 +36,21 @@
 const cell = ({ mean, halfWidth }: Estimate, digits: number, isDifference = false): string => {
   const sign = isDifference && mean >= 0 ? '+' : ''
   const interval = Number.isNaN(halfWidth) ? '' : ` ±${halfWidth.toFixed(digits)}`
-  // A difference whose interval leaves out zero is marked.
+  // Marks a difference whose confidence interval does not include zero.
   const mark = isDifference && Math.abs(mean) > halfWidth ? ' *' : ''
   return `${sign}${mean.toFixed(digits)}${interval}${mark}`
 }
 
 const valuesOf = (results: WorkResult[], key: keyof Figures): number[] => results.map(({ figures }) => figures[key])
 
-/** Figures of one variant, a line each. */
+/** Table of the figures of one variant, one row each. */
 export const figureTable = (results: WorkResult[]): string => {
   const table = new Table({ ...MARKDOWN_STYLE, head: ['figure', `mean of ${results.length} seeds`] })
   for (const { key, digits } of COLUMNS) table.push([key, cell(estimate(valuesOf(results, key)), digits)])
   return table.toString()
 }
 
-/** Two variants on the same seeds, and their differences; those that are no chance are marked with a star. */
+/** Table of two variants on the same seeds, with their differences; a star marks those that are significant at the 95% level. */
 export const comparisonTable = (base: WorkResult[], other: WorkResult[]): string => {
   const table = new Table({ ...MARKDOWN_STYLE, head: ['figure', base[0]!.variant, other[0]!.variant, 'difference'] })
   for (const { key, digits } of COLUMNS) {
@@ -62,7 +62,7 @@
 
 const ABLATION_KEYS: Array<keyof Figures> = ['worth', 'worstKind', 'worstWindows', 'largest', 'refused', 'refusedLate', 'idleWhileWaiting', 'startsInVain', 'wasted']
 
-/** What each variant loses or gains against the first one, a line each. */
+/** Table of the differences of each variant from the base variant, one row each. */
 export const ablationTable = (base: WorkResult[], others: WorkResult[][]): string => {
   const columns = COLUMNS.filter(({ key }) => ABLATION_KEYS.includes(key))
   const table = new Table({ ...MARKDOWN_STYLE, head: [`against ${base[0]!.variant}`, ...columns.map(({ key }) => key)] })
--- a/packages/lab/src/traffic.ts
+++ b/packages/lab/src/traffic.ts
@@ -4,21 +4,21 @@
 import type { SimulatedJob } from './drawJob.js'
 import type { JobKind, Scenario, Trouble } from './scenario.js'
 
-/** A job with its moment and its caller. */
+/** A job with its arrival time and its caller. */
 export interface Arrival {
-  /** In ms from the start of the traffic. */
+  /** Time from the start of the traffic, in ms. */
   at: number
   job: SimulatedJob
   zone: number
-  /** The client of its zone that sends it, where clients are told apart. */
+  /** Number of the client of its zone that sends it; undefined if the scenario has no clients. */
   client: number | undefined
   /** How long its caller waits, in ms. */
   patienceMs: number
-  /** The answer is in time within so many ms. */
+  /** Response objective: an answer within this time is in time, in ms. */
   objectiveMs: number
 }
 
-/** Part of their time after which callers leave, where they do. */
+/** Range of the share of their patience after which callers leave during `callers_leave`. */
 const LEAVE_AFTER_SHARE = { from: 0.1, to: 0.7 }
 
 const isActive = ({ at, for: length }: Trouble, second: number): boolean => second >= at && second < at + length
@@ -51,8 +51,8 @@
 }
 
 /**
- * All jobs of a scenario, in the order of their arrival. It depends on the seed
- * alone, so that whatever is compared meets the same load.
+ * Draws all jobs of a scenario, in the order of their arrival. They depend on the
+ * scenario and the seed alone, so that compared policies get the same load.
  */
 export const drawTraffic = (scenario: Scenario, seed: number): Arrival[] =>
   scenario.kinds
--- a/packages/lab/src/variants.ts
+++ b/packages/lab/src/variants.ts
@@ -4,8 +4,8 @@
 const DECISIONS = Object.keys(POLICY) as Array<keyof Policy>
 
 /**
- * What can be compared: the product's policy, the plain one, and the product's
- * with one decision replaced by the plain way, under the name `plain-DECISION`.
+ * Policies that can be compared, by name: the product's policy, the plain policy, and
+ * the product's policy with one decision taken from the plain one, as `plain-DECISION`.
  */
 export const VARIANTS: ReadonlyMap<string, Policy> = new Map<string, Policy>([
   ['product', POLICY],
