--- a/packages/lab/src/bound.ts
+++ b/packages/lab/src/bound.ts
@@ -1,7 +1,7 @@
 import { fits } from '@hazellift/decisions'
 import type { Resources } from '@hazellift/decisions'
 import { EventClock } from './eventClock.js'
-import { createCounts, computeFigures } from './figures.js'
+import { computeFigures, createCounts } from './figures.js'
 import type { Figures, Outcome } from './figures.js'
 import type { Scenario } from './scenario.js'
 import { drawTraffic } from './traffic.js'
--- a/packages/lab/src/figures.ts
+++ b/packages/lab/src/figures.ts
@@ -49,6 +49,7 @@
   worstWindows: number
   /** `worth` of the largest tenth of the jobs of each kind. */
   largest: number
+  /** Share of all jobs. */
   refused: number
   /** Share of all jobs: refused while an endpoint had free capacity. */
   refusedWithRoom: number
--- a/packages/lab/src/frameSender.ts
+++ b/packages/lab/src/frameSender.ts
@@ -29,6 +29,7 @@
     this.sentAt = options.clock.now()
   }
 
+  /** Adds a change to the next frame. */
   add = (change: (frame: Frame) => void): void => {
     const { process, cpuMs, createFrame } = this.options
     const isFirst = this.pending === undefined
--- a/packages/lab/src/labEndpoint.ts
+++ b/packages/lab/src/labEndpoint.ts
@@ -17,6 +17,7 @@
   taskOf: (run: RunRef) => SimulatedTask
   onStarted: (run: RunRef) => void
   onEnded: (run: RunRef, how: RunEnd, ranMs: number) => void
+  /** The runs of an endpoint need more than its capacity. */
   onOverCapacity: () => void
 }
 
@@ -42,9 +43,11 @@
 export class LabEndpoint {
   /** Share of the orders that get no answer. */
   lostOrderShare = 0
+  /** If true, every run fails when it ends. */
   isFailing = false
   isUp = true
   private readonly runs = new Map<string, Run>()
+  /** Highest ended run number of each task; it and lower ones cannot start again. */
   private readonly endedRuns = new Map<string, number>()
   private ends: ListedEnd[] = []
   private pendingPolls: PendingPoll[] = []
@@ -91,14 +94,17 @@
     for (const run of [...this.runs.values()]) this.finish(run, RUN_ENDS.lapsed)
   }
 
+  /** Starts a run and renews the run lease; `sentAt` is when the order was sent. */
   start (order: StartOrder, sentAt: number, answer: (outcome: StartOutcome) => void): void {
     this.handleOrder(() => this.onStart(order, sentAt), answer)
   }
 
+  /** Stops a run, and prevents its start if it has not begun. */
   stop (run: RunRef, answer: (isStopped: boolean) => void): void {
     this.handleOrder(() => this.onStop(run), answer)
   }
 
+  /** Lists the runs, at once if some have ended and else after `waitMs`; renews the run lease if the request carries one. */
   poll ({ runLeaseMs, lastSeen, waitMs }: PollRequest, sentAt: number, answer: (outcome: PollOutcome) => void): void {
     if (!this.isUp || this.random() < this.lostOrderShare) return
     if (runLeaseMs !== undefined) this.renewLease(sentAt + runLeaseMs)
--- a/packages/lab/src/labLink.ts
+++ b/packages/lab/src/labLink.ts
@@ -22,7 +22,7 @@
   host: LeasedHost
 }
 
-/** How often a side sends at least, and after how much silence of the other it times out; shorter while tasks are outstanding. */
+/** Keep-alive interval of a side, and the silence of the other side after which it ends the session; `busy` applies while tasks are outstanding. */
 export interface SideTimes {
   busy: { keepAliveMs: number, timeoutMs: number }
   idle: { keepAliveMs: number, timeoutMs: number }
--- a/packages/lab/src/labProcess.ts
+++ b/packages/lab/src/labProcess.ts
@@ -73,11 +73,12 @@
     return bytes * BITS_PER_BYTE / (this.megabits * BITS_PER_MS_OF_MEGABIT)
   }
 
-  /** Suspends the process. */
+  /** Suspends the process for a time, in ms. */
   freeze (ms: number): void {
     this.frozenUntil = Math.max(this.frozenUntil, this.worldClock.now() + ms)
   }
 
+  /** Ends the process for good. */
   kill (): void {
     this.isUp = false
   }
--- a/packages/lab/src/labWorld.ts
+++ b/packages/lab/src/labWorld.ts
@@ -8,10 +8,10 @@
 import { EntryDialer } from '@hazellift/sessions'
 import { createLabEndpointClient } from './createLabEndpointClient.js'
 import { randomStream } from './draw.js'
+import type { SimulatedJob } from './drawJob.js'
 import { EventClock } from './eventClock.js'
 import { createCounts } from './figures.js'
 import type { Counts } from './figures.js'
-import type { SimulatedJob } from './drawJob.js'
 import { LabEndpoint } from './labEndpoint.js'
 import { LabLink } from './labLink.js'
 import type { LabAgent, LabEntry } from './labLink.js'
@@ -20,11 +20,13 @@
 
 /** The lease times of the platform. */
 export const LEASE_TIMES: LeaseTimes = { entryLeaseMs: 600, runLeaseMs: 500, stopMs: 50, clockFactor: 1.02 }
+/** How long an endpoint may wait for the end of a run before it answers a poll. */
 const POLL_WAIT_MS = 100
 const SWEEP_INTERVAL_MS = 25
 /** How often free capacity is sampled while jobs wait. */
 const SAMPLE_INTERVAL_MS = 5
 const MAX_EJECTED_SHARE = 0.4
+/** Time for which a failing endpoint is ejected; it doubles with each ejection in a row. */
 const EJECTION_MS = { base: 1000, most: 8000 }
 /** Random streams of this module; the kinds of jobs use the numbers from 0 on. */
 const RANDOM_STREAMS = { entries: 40, endpoints: 50, dialers: 60, troubles: 62 } as const
@@ -55,7 +57,7 @@
   readonly clock = new EventClock()
   readonly entries: EntrySlot[]
   readonly agents: AgentSlot[]
-  /** By agent and entry. */
+  /** By index of the agent, then of the entry. */
   readonly links: LabLink[][]
   readonly counts: Counts = createCounts()
   /** Random stream that selects what troubles affect. */
@@ -237,7 +239,7 @@
     const name = `${submission}/${index}`
     const runs = (this.running.get(name) ?? 0) + 1
     this.running.set(name, runs)
-    if (runs > 1) this.counts.violations.push(`two runs of task ${name} at a time at ${this.clock.now()} ms`)
+    if (runs > 1) this.counts.violations.push(`two concurrent runs of task ${name} at ${this.clock.now()} ms`)
   }
 
   private onEnded ({ submission, index }: RunRef, how: RunEnd, ranMs: number): void {
--- a/packages/lab/src/runScenario.ts
+++ b/packages/lab/src/runScenario.ts
@@ -1,12 +1,12 @@
 import { rendezvousScore } from '@hazellift/common'
 import type { LeasedJobEnd, LeasedJobSpec } from '@hazellift/coordination'
 import type { Policy } from '@hazellift/decisions'
-import { inTimeBySecond, computeFigures } from './figures.js'
+import { computeFigures, inTimeBySecond } from './figures.js'
 import type { CallerEnd, Figures, Outcome } from './figures.js'
 import { LabWorld, zoneName } from './labWorld.js'
 import type { EntrySlot } from './labWorld.js'
-import { scheduleTroubles } from './scheduleTroubles.js'
 import type { Scenario } from './scenario.js'
+import { scheduleTroubles } from './scheduleTroubles.js'
 import { drawTraffic } from './traffic.js'
 import type { Arrival } from './traffic.js'
 
@@ -19,13 +19,13 @@
   violations: string[]
 }
 
-/** Before the traffic, so that sessions are open and endpoints are announced. */
+/** Time before the traffic, so that sessions are open and endpoints are announced. */
 const WARM_UP_MS = 2000
-/** After the traffic, for its last answers. */
+/** Time after the traffic for its last answers. */
 const COOL_DOWN_MS = 12_000
 /** One-way network delay between caller and entry. */
 const CLIENT_DELAY_MS = 1
-/** Delay after which a caller whose connection broke sends its request again, to another entry. */
+/** Delay after which a caller whose connection broke sends its request again. */
 const RESEND_DELAY_MS = 1300
 /** Headers of a request and of its answer, with TCP and IP. */
 const REQUEST_BYTES = 400
