--- a/packages/agent/src/startAgent.ts
+++ b/packages/agent/src/startAgent.ts
@@ -5,7 +5,7 @@
 import { TaskHost } from '@hazellift/coordination'
 import { ALL_ENTRIES } from '@hazellift/decisions'
 import type { AgentSettings, TaskResult } from '@hazellift/protocol'
-import { EntryDialer, Pulse, dialEntry } from '@hazellift/sessions'
+import { EntryDialer, KeepAliveMonitor, dialEntry } from '@hazellift/sessions'
 import { ulid } from 'ulid'
 import { AnnouncedEndpoint } from './endpoint/announcedEndpoint.js'
 import { createAgentServer } from './http/createAgentServer.js'
@@ -19,10 +19,10 @@
   cut: () => string[]
 }
 
-const DRAIN_CHECK_MS = 20
-const SWEEP_MS = 5000
+const DRAIN_CHECK_INTERVAL_MS = 20
+const SWEEP_INTERVAL_MS = 5000
 /** Longest wait for entries to acknowledge the last results. */
-const LAST_ACK_MS = 2000
+const FINAL_ACK_TIMEOUT_MS = 2000
 
 const log = createLogger('agent')
 
@@ -37,7 +37,7 @@
 
 const createHost = (settings: AgentSettings, metrics: Metrics) => {
   const endpoint = new AnnouncedEndpoint({
-    clock: systemClock, host: () => host, silenceMs: settings.endpointSilenceMs, maxAnswerBytes: settings.maxAnswerBytes
+    clock: systemClock, host: () => host, announcementTimeoutMs: settings.endpointSilenceMs, maxAnswerBytes: settings.maxAnswerBytes
   })
   const host: TaskHost = new TaskHost({
     clock: systemClock,
@@ -47,7 +47,7 @@
     startAgeMs: settings.startAgeMs,
     memoryMs: settings.memoryMs,
     maxAnswerSize: settings.answerMemoryBytes,
-    observe: createObserver(metrics)
+    onResult: createObserver(metrics)
   })
   metrics.gauge({ name: 'hazellift_agent_busy_tasks', help: 'Tasks that run or wait' }, (gauge) => gauge.set(host.busy))
   return { host, endpoint }
@@ -57,7 +57,7 @@
 const createDialer = (settings: AgentSettings, host: TaskHost): EntryDialer => {
   const { agentId, zone, clusterToken, keepAliveMs, sessionTimeoutMs: timeoutMs, seeds } = settings
   const times = { keepAliveMs, timeoutMs }
-  const options = { host, agentId, incarnation: ulid(), zone, clusterToken, pulse: new Pulse({ busy: times, idle: times }) }
+  const options = { host, agentId, incarnation: ulid(), zone, clusterToken, keepAliveMonitor: new KeepAliveMonitor({ busy: times, idle: times }) }
   return new EntryDialer({
     clock: systemClock,
     random: Math.random,
@@ -65,20 +65,20 @@
     score: (address) => rendezvousScore(agentId, address),
     limits: ALL_ENTRIES,
     seeds,
-    seedPaceMs: 0,
+    seedIntervalMs: 0,
     dial: (address, handle) => dialEntry(address, options, handle)
   })
 }
 
-const drainTasks = async (host: TaskHost): Promise<void> => {
-  while (host.busy > 0) await systemClock.sleep(DRAIN_CHECK_MS)
+const waitUntilIdle = async (host: TaskHost): Promise<void> => {
+  while (host.busy > 0) await systemClock.sleep(DRAIN_CHECK_INTERVAL_MS)
 }
 
 const drain = async (host: TaskHost): Promise<void> => {
   // A start that is under way while this agent ends would be lost with it.
-  while (host.busy > 0 || !host.isLeft) await systemClock.sleep(DRAIN_CHECK_MS)
-  const until = systemClock.now() + LAST_ACK_MS
-  while (host.unacked > 0 && systemClock.now() < until) await systemClock.sleep(DRAIN_CHECK_MS)
+  while (host.busy > 0 || !host.isLeavingKnown) await systemClock.sleep(DRAIN_CHECK_INTERVAL_MS)
+  const until = systemClock.now() + FINAL_ACK_TIMEOUT_MS
+  while (host.unacked > 0 && systemClock.now() < until) await systemClock.sleep(DRAIN_CHECK_INTERVAL_MS)
 }
 
 /**
@@ -90,11 +90,11 @@
   const metrics = createMetrics()
   const { host, endpoint } = createHost(settings, metrics)
   const dialer = createDialer(settings, host)
-  const server = createAgentServer({ endpoint, registry: metrics.registry, isReady: () => endpoint.isPresent, drained: () => drainTasks(host) })
+  const server = createAgentServer({ endpoint, registry: metrics.registry, isReady: () => endpoint.isPresent, waitUntilIdle: () => waitUntilIdle(host) })
   server.listen(settings.agentPort, settings.listenHost)
   await once(server, 'listening')
   const address = `${settings.listenHost}:${(server.address() as AddressInfo).port}`
-  const sweep = setInterval(() => host.sweep(), SWEEP_MS)
+  const sweep = setInterval(() => host.sweep(), SWEEP_INTERVAL_MS)
   dialer.start()
   log('listening', { agent: settings.agentId, address })
   return {
--- a/packages/coordination/src/claims/claimStore.ts
+++ b/packages/coordination/src/claims/claimStore.ts
@@ -9,7 +9,7 @@
 import { GroupRead } from './groupRead.js'
 
 /** What a claim says about its submission. */
-export interface ClaimFacts {
+export interface SubmissionDetails {
   workspace: string
   submission: string
   bodyHash: Uint8Array
@@ -64,9 +64,9 @@
   }
 
   /** Inserts the claim of a submission if there is none. */
-  async claim (facts: ClaimFacts, deadline: number): Promise<ClaimOutcome> {
+  async claim (details: SubmissionDetails, deadline: number): Promise<ClaimOutcome> {
     const { clock } = this.options
-    const record = create(ClaimRecordSchema, { ...facts, ...this.ownership(), createdMs: clock.wallNow() })
+    const record = create(ClaimRecordSchema, { ...details, ...this.ownership(), createdMs: clock.wallNow() })
     return this.write(record, 0n, deadline)
   }
 
@@ -138,10 +138,10 @@
   }
 
   /** A takeover of a row that expired meanwhile finds no row at all. */
-  private onConflict (isGone: boolean, record: ClaimRecord, rival: () => Claim): ClaimOutcome {
+  private onConflict (isGone: boolean, record: ClaimRecord, decodeExisting: () => Claim): ClaimOutcome {
     return isGone
       ? { type: 'unavailable', nonce: record.nonce, certain: true, message: 'the claim expired' }
-      : { type: 'existing', claim: rival() }
+      : { type: 'existing', claim: decodeExisting() }
   }
 
   private commit (record: ClaimRecord, ifVersion: bigint, deadline: number): Promise<CommitOutcome> {
--- a/packages/coordination/src/claims/groupRead.ts
+++ b/packages/coordination/src/claims/groupRead.ts
@@ -4,10 +4,10 @@
 
 interface PendingRead {
   key: string
-  settle: (result: Result<TableRow | undefined, StoreFault>) => void
+  resolve: (result: Result<TableRow | undefined, StoreFault>) => void
 }
 
-const MAX_KEYS = 500
+const MAX_KEYS_PER_READ = 500
 
 /**
  * Reads rows with one call in flight that carries all keys waiting, so that
@@ -22,7 +22,7 @@
   /** Reads one row; `undefined` if there is none. */
   read (key: string): Promise<Result<TableRow | undefined, StoreFault>> {
     return new Promise((resolve) => {
-      this.queue.push({ key, settle: resolve })
+      this.queue.push({ key, resolve: resolve })
       if (!this.running) void this.run()
     })
   }
@@ -30,9 +30,9 @@
   private async run (): Promise<void> {
     this.running = true
     while (this.queue.length > 0) {
-      const batch = this.queue.splice(0, MAX_KEYS)
+      const batch = this.queue.splice(0, MAX_KEYS_PER_READ)
       const res = await this.table.read([...new Set(batch.map(({ key }) => key))])
-      for (const { key, settle } of batch) settle(res.ok ? ok(res.value.find((row) => row.key === key)) : res)
+      for (const { key, resolve: settle } of batch) settle(res.ok ? ok(res.value.find((row) => row.key === key)) : res)
     }
     this.running = false
   }
--- a/packages/coordination/src/config/configWatch.ts
+++ b/packages/coordination/src/config/configWatch.ts
@@ -55,7 +55,7 @@
   }
 
   /** Names of all workspaces. */
-  get names (): string[] {
+  get workspaceNames (): string[] {
     return [...this.workspaces.values()].filter(({ deleted }) => !deleted).map(({ name }) => name).sort()
   }
 
--- a/packages/coordination/src/dispatch/agentHandle.ts
+++ b/packages/coordination/src/dispatch/agentHandle.ts
@@ -18,22 +18,22 @@
   service: string
   slots: number
   address: string
-  leaving: boolean
+  isLeaving: boolean
   /** Unset while no session is open. */
   link: AgentLink | undefined
   /** False until the agent told what it holds. */
-  resumed: boolean
+  isResumed: boolean
   credits: number
   /** Credits kept while no task waits. */
   standingCredits: number
   /** Slots to count on: as the agent said last, less the starts sent since. */
-  free: number
+  freeSlots: number
   /** Demand that the agent was told last. */
-  toldDemand: number
+  reportedDemand: number
   /** The agent's own clock, as it said last. */
   stampMs: number
   /** The last stamp of the session before this one. */
-  stampAtLossMs: number
+  previousSessionStampMs: number
   sent: Map<string, SentTask>
   cancelLossTimer: (() => void) | undefined
 }
@@ -52,15 +52,15 @@
   service: '',
   slots: 0,
   address: '',
-  leaving: false,
+  isLeaving: false,
   link: undefined,
-  resumed: false,
+  isResumed: false,
   credits: 0,
   standingCredits: 0,
-  free: 0,
-  toldDemand: 0,
+  freeSlots: 0,
+  reportedDemand: 0,
   stampMs: 0,
-  stampAtLossMs: 0,
+  previousSessionStampMs: 0,
   sent: new Map(),
   cancelLossTimer: undefined
 })
--- a/packages/coordination/src/dispatch/demand.ts
+++ b/packages/coordination/src/dispatch/demand.ts
@@ -1,19 +1,19 @@
 import type { AgentHandle } from './agentHandle.js'
 
-const tell = (agent: AgentHandle, demand: number): void => {
-  agent.toldDemand = demand
+const sendDemand = (agent: AgentHandle, demand: number): void => {
+  agent.reportedDemand = demand
   agent.link?.add((frame) => { frame.demand = demand })
 }
 
 /** Asks agents for the free slots that they are known to have; gives what remains to ask for. */
-const askForFree = (agents: AgentHandle[], waiting: number): number => {
-  let rest = waiting
-  for (const agent of [...agents].sort((a, b) => b.free - a.free)) {
-    const asked = Math.min(rest, Math.max(0, agent.free - agent.credits))
-    if (asked > 0 && agent.toldDemand === 0) tell(agent, asked)
-    rest -= Math.max(asked, Math.min(rest, agent.toldDemand))
+const requestFreeSlots = (agents: AgentHandle[], waiting: number): number => {
+  let remaining = waiting
+  for (const agent of [...agents].sort((a, b) => b.freeSlots - a.freeSlots)) {
+    const requested = Math.min(remaining, Math.max(0, agent.freeSlots - agent.credits))
+    if (requested > 0 && agent.reportedDemand === 0) sendDemand(agent, requested)
+    remaining -= Math.max(requested, Math.min(remaining, agent.reportedDemand))
   }
-  return rest
+  return remaining
 }
 
 /**
@@ -24,12 +24,12 @@
  * @param agents - those that take new work
  * @param waiting - tasks that wait for a credit
  */
-export const spreadDemand = (agents: AgentHandle[], waiting: number): void => {
-  const rest = askForFree(agents, waiting)
-  if (rest === 0) return
-  const untold = agents.filter(({ toldDemand }) => toldDemand === 0)
-  const share = Math.ceil(rest / Math.max(1, untold.length))
-  for (const agent of untold.slice(0, rest)) tell(agent, share)
+export const distributeDemand = (agents: AgentHandle[], waiting: number): void => {
+  const remaining = requestFreeSlots(agents, waiting)
+  if (remaining === 0) return
+  const unreported = agents.filter(({ reportedDemand: toldDemand }) => toldDemand === 0)
+  const share = Math.ceil(remaining / Math.max(1, unreported.length))
+  for (const agent of unreported.slice(0, remaining)) sendDemand(agent, share)
 }
 
 /**
@@ -41,7 +41,7 @@
  */
 export const refreshDemand = (agent: AgentHandle, waiting: number, agentCount: number): void => {
   const share = Math.floor(waiting / Math.max(1, agentCount))
-  if (share !== agent.toldDemand) tell(agent, share)
+  if (share !== agent.reportedDemand) sendDemand(agent, share)
 }
 
 /**
@@ -49,12 +49,12 @@
  *
  * @param agents - those that take new work
  */
-export const returnExcess = (agents: AgentHandle[]): void => {
+export const returnExcessCredits = (agents: AgentHandle[]): void => {
   for (const agent of agents) {
     const excess = agent.credits - agent.standingCredits
     if (excess <= 0) continue
     agent.credits -= excess
     agent.link?.add((frame) => { frame.returnedCredits += excess })
-    if (agent.toldDemand > 0) tell(agent, 0)
+    if (agent.reportedDemand > 0) sendDemand(agent, 0)
   }
 }
--- a/packages/coordination/src/dispatch/dispatcher.ts
+++ b/packages/coordination/src/dispatch/dispatcher.ts
@@ -8,10 +8,10 @@
 import type { AgentHandle } from './agentHandle.js'
 import type { AgentLink, SessionDispatcher } from '../session/types.js'
 import type { DispatcherOptions } from './dispatcherOptions.js'
-import { InFlight } from './inFlight.js'
+import { InFlightTasks } from './inFlightTasks.js'
 import { ServiceRegistry } from './serviceRegistry.js'
 import { ServiceState } from './serviceState.js'
-import { TaskEnds } from './taskEnds.js'
+import { TaskEndHandler } from './taskEndHandler.js'
 import { TaskSender } from './taskSender.js'
 import { Takeovers } from './takeovers.js'
 
@@ -25,20 +25,20 @@
   private readonly services: ServiceRegistry
   private readonly agents = new Map<string, AgentHandle>()
   private readonly jobs = new Map<string, Job>()
-  private readonly inFlight = new InFlight()
+  private readonly inFlight = new InFlightTasks()
   private readonly takeovers: Takeovers
-  private readonly ends: TaskEnds
+  private readonly endHandler: TaskEndHandler
   private readonly sender: TaskSender
 
   constructor (private readonly options: DispatcherOptions) {
-    const { order, weightOf, maxRunningOf, clock, setAsideShare, setAsideBackoff, collectTimeoutMs, events } = options
+    const { order, weightOf, maxRunningOf, clock, maxEjectedShare: setAsideShare, ejectionBackoff: setAsideBackoff, collectTimeoutMs, events } = options
     const mayRun = (workspace: string) => this.runningTasks(workspace) < maxRunningOf(workspace)
     this.services = new ServiceRegistry(() => new ServiceState(
       { order, weightOf, mayRun },
-      { now: clock.now, maxShare: setAsideShare, backoff: setAsideBackoff },
+      { now: clock.now, maxEjectedShare: setAsideShare, ejectionBackoff: setAsideBackoff },
       options.isEvacuated))
     this.sender = new TaskSender({ ...options, inFlight: this.inFlight })
-    this.ends = new TaskEnds({
+    this.endHandler = new TaskEndHandler({
       clock,
       events,
       services: this.services,
@@ -51,7 +51,7 @@
       inFlight: this.inFlight,
       collectTimeoutMs,
       isOpen: ({ key }) => this.jobs.has(key),
-      onMissing: (job) => events.failed(job, REASONS.ownerLost, 'the owner was lost and no agent reached knows all tasks')
+      onIncomplete: (job) => events.failed(job, REASONS.ownerLost, 'the owner was lost and no agent reached knows all tasks')
     })
   }
 
@@ -77,12 +77,12 @@
 
   /** Tasks of a workspace in flight from this entry. */
   runningTasks (workspace: string): number {
-    return this.inFlight.countOf(workspace)
+    return this.inFlight.runningTasks(workspace)
   }
 
   /** Tasks of a workspace that wait at this entry. */
   queuedTasks (workspace: string): number {
-    return this.services.queuedOf(workspace)
+    return this.services.queuedTasks(workspace)
   }
 
   /** Tasks of all workspaces that wait at this entry. */
@@ -93,7 +93,7 @@
   /** Starts the tasks of a job that this entry owns. */
   add (job: Job): void {
     this.jobs.set(job.key, job)
-    const service = this.services.of(job.service)
+    const service = this.services.getOrCreate(job.service)
     service.queue.add(job)
     this.sender.schedule(service)
   }
@@ -123,21 +123,21 @@
     this.services.find(job.service)?.queue.remove(job)
     job.queue = []
     this.jobs.delete(job.key)
-    this.pumpAll()
+    this.scheduleAll()
     return this.inFlight.removeJob(job, this.knownAgents)
   }
 
   /** An agent opened a session. An earlier one with it is over. */
   open (hello: Hello, link: AgentLink): AgentHandle {
     const known = this.agents.get(hello.agentId)
-    if (known !== undefined && known.incarnation !== hello.incarnation) this.loseAgent(known)
+    if (known !== undefined && known.incarnation !== hello.incarnation) this.onAgentLost(known)
     const agent = this.agents.get(hello.agentId) ?? createAgentHandle(hello.agentId, hello.incarnation, hello.zone)
     this.agents.set(agent.agentId, agent)
     agent.link?.close()
     agent.cancelLossTimer?.()
     agent.cancelLossTimer = undefined
-    if (agent.resumed) agent.stampAtLossMs = agent.stampMs
-    Object.assign(agent, { link, resumed: false, credits: 0, free: 0, toldDemand: 0 })
+    if (agent.isResumed) agent.previousSessionStampMs = agent.stampMs
+    Object.assign(agent, { link, isResumed: false, credits: 0, freeSlots: 0, reportedDemand: 0 })
     return agent
   }
 
@@ -145,18 +145,18 @@
   onFrame (agent: AgentHandle, link: AgentLink, frame: AgentFrame): void {
     if (agent.link !== link) return
     agent.stampMs = frame.stampMs
-    agent.free = frame.free
+    agent.freeSlots = frame.free
     if (frame.endpoint !== undefined) this.setEndpoint(agent, frame.endpoint)
     if (frame.leaving) this.setLeaving(agent)
-    if (frame.endsElsewhere !== undefined) this.services.find(agent.service)?.health.heard(agent.agentId, frame.endsElsewhere)
-    for (const result of frame.results) this.ends.onResult(agent, result)
+    if (frame.endsElsewhere !== undefined) this.services.find(agent.service)?.health.recordEnds(agent.agentId, frame.endsElsewhere)
+    for (const result of frame.results) this.endHandler.onResult(agent, result)
     if (frame.resume !== undefined) this.onResume(agent, frame.resume.held)
     for (const { workspace, submission, running } of frame.collected) {
       this.takeovers.onCollected(agent, this.jobs.get(submissionKey(workspace, submission)), running)
     }
     if (frame.credits > 0) this.onCredits(agent, frame.credits)
     // A result may lift the limit of a workspace that waits for another service.
-    this.pumpAll()
+    this.scheduleAll()
   }
 
   /** The session ended; its tasks wait for it to resume. */
@@ -164,12 +164,12 @@
     if (agent.link !== link) return
     agent.link = undefined
     agent.credits = 0
-    agent.cancelLossTimer = this.options.clock.after(this.options.resumeWindowMs, () => this.loseAgent(agent))
+    agent.cancelLossTimer = this.options.clock.after(this.options.resumeWindowMs, () => this.onAgentLost(agent))
   }
 
   /** Runs a pass over every queue, as limits or weights changed. */
-  pumpAll (): void {
-    for (const service of this.services.waiting) this.sender.schedule(service)
+  scheduleAll (): void {
+    for (const service of this.services.withQueuedTasks) this.sender.schedule(service)
   }
 
   /**
@@ -178,21 +178,21 @@
    * the resume window. Both are measured on the agent's clock, as an entry that
    * was paused may read frames long after they were sent.
    */
-  private onResume (agent: AgentHandle, held: TaskKey[]): void {
-    agent.resumed = true
-    const heldKeys = new Set(held.map(taskKey))
-    const missing = [...agent.sent].filter(([key]) => !heldKeys.has(key))
-    const mayRequeue = agent.stampMs - agent.stampAtLossMs <= this.options.resumeWindowMs
+  private onResume (agent: AgentHandle, accepted: TaskKey[]): void {
+    agent.isResumed = true
+    const acceptedKeys = new Set(accepted.map(taskKey))
+    const missing = [...agent.sent].filter(([key]) => !acceptedKeys.has(key))
+    const mayRequeue = agent.stampMs - agent.previousSessionStampMs <= this.options.resumeWindowMs
     for (const [key, { job, task }] of missing) {
       this.inFlight.remove(agent, key)
-      if (mayRequeue) this.ends.onNotStarted(job, task, REASONS.lostStart)
-      else this.failLost(job, agent)
+      if (mayRequeue) this.endHandler.onNotStarted(job, task, REASONS.lostStart)
+      else this.failLostJob(job, agent)
     }
-    this.revokeUnknown(agent, held)
+    this.revokeUnknown(agent, accepted)
   }
 
-  private revokeUnknown (agent: AgentHandle, held: TaskKey[]): void {
-    const unknown = held.filter((key) => !agent.sent.has(taskKey(key)) &&
+  private revokeUnknown (agent: AgentHandle, accepted: TaskKey[]): void {
+    const unknown = accepted.filter((key) => !agent.sent.has(taskKey(key)) &&
       !this.jobs.has(submissionKey(key.workspace, key.submission)))
     for (const { workspace, submission, task } of unknown) {
       const message = create(RevokeSchema, { workspace, submission, tasks: [task] })
@@ -201,18 +201,18 @@
   }
 
   /** The agent is gone with what it held. */
-  private loseAgent (agent: AgentHandle): void {
+  private onAgentLost (agent: AgentHandle): void {
     agent.cancelLossTimer?.()
     agent.link?.close()
-    this.services.place(agent, '')
+    this.services.assign(agent, '')
     this.agents.delete(agent.agentId)
     for (const [key, { job }] of [...agent.sent]) {
       this.inFlight.remove(agent, key)
-      this.failLost(job, agent)
+      this.failLostJob(job, agent)
     }
   }
 
-  private failLost (job: Job, agent: AgentHandle): void {
+  private failLostJob (job: Job, agent: AgentHandle): void {
     if (isFinished(job)) return
     this.options.events.failed(job, REASONS.agentLost, `agent ${agent.agentId} was lost with a task in its hands`)
   }
@@ -220,15 +220,15 @@
   private setEndpoint (agent: AgentHandle, { service, slots, address, standingCredits }: EndpointState): void {
     // Credits for the endpoint's earlier state are void at the agent, too.
     agent.credits = 0
-    agent.toldDemand = 0
+    agent.reportedDemand = 0
     agent.slots = slots
     agent.standingCredits = standingCredits
     agent.address = address
-    this.services.place(agent, service)
+    this.services.assign(agent, service)
   }
 
   private setLeaving (agent: AgentHandle): void {
-    agent.leaving = true
+    agent.isLeaving = true
     agent.credits = 0
     agent.link?.add((frame) => { frame.sawLeaving = true })
   }
@@ -236,7 +236,7 @@
   private onCredits (agent: AgentHandle, credits: number): void {
     agent.credits += credits
     // The agent counts its grants against the demand that it was told, too.
-    agent.toldDemand = Math.max(0, agent.toldDemand - credits)
+    agent.reportedDemand = Math.max(0, agent.reportedDemand - credits)
     const service = this.services.find(agent.service)
     if (service !== undefined) this.sender.schedule(service)
   }
--- a/packages/coordination/src/dispatch/dispatcherOptions.ts
+++ b/packages/coordination/src/dispatch/dispatcherOptions.ts
@@ -32,8 +32,8 @@
   resumeWindowMs: number
   /** How long a takeover waits for agents to say what they know, in ms. */
   collectTimeoutMs: number
-  setAsideShare: number
-  setAsideBackoff: (times: number) => number
+  maxEjectedShare: number
+  ejectionBackoff: (ejections: number) => number
   /** True for an availability zone whose endpoints get no start. */
   isEvacuated: (zone: string) => boolean
   /** Runs `fn` after the events that are ready now. */
--- a/packages/coordination/src/dispatch/inFlight.ts
+++ b/packages/coordination/src/dispatch/inFlightTasks.ts
@@ -2,18 +2,18 @@
 import type { AgentHandle, SentTask } from './agentHandle.js'
 
 /** Starts in flight, by agent and counted by workspace. */
-export class InFlight {
+export class InFlightTasks {
   private readonly counts = new Map<string, number>()
 
   /** Tasks of a workspace in flight. */
-  countOf (workspace: string): number {
+  runningTasks (workspace: string): number {
     return this.counts.get(workspace) ?? 0
   }
 
   /** A start was sent, or is known to run. */
   add (agent: AgentHandle, key: string, sent: SentTask): void {
     agent.sent.set(key, sent)
-    this.counts.set(sent.job.workspace, this.countOf(sent.job.workspace) + 1)
+    this.counts.set(sent.job.workspace, this.runningTasks(sent.job.workspace) + 1)
   }
 
   /** A start is over, or does not count any more. */
@@ -22,8 +22,8 @@
     if (sent === undefined) return undefined
     agent.sent.delete(key)
     const { workspace } = sent.job
-    const left = this.countOf(workspace) - 1
-    if (left > 0) this.counts.set(workspace, left)
+    const remaining = this.runningTasks(workspace) - 1
+    if (remaining > 0) this.counts.set(workspace, remaining)
     else this.counts.delete(workspace)
     return sent
   }
--- a/packages/coordination/src/dispatch/pickRules.ts
+++ b/packages/coordination/src/dispatch/pickRules.ts
@@ -17,15 +17,15 @@
 }
 
 /** Time that crossing zones costs, in ms. */
-const ZONE_PENALTY_MS = 1
+const CROSS_ZONE_PENALTY_MS = 1
 /** Below this, differences of observed speed are noise. */
-const NOTABLE_SLOWNESS = 1.5
+const MIN_NOTABLE_SLOWNESS = 1.5
 const ASSUMED_RUN_MS = 100
 
 const expectedMs = (agent: AgentHandle, { zone, health }: PickContext): number => {
   const slowness = health.slownessOf(agent.agentId)
-  const factor = slowness < NOTABLE_SLOWNESS ? 1 : slowness
-  return factor * (health.meanMs || ASSUMED_RUN_MS) + (agent.zone === zone ? 0 : ZONE_PENALTY_MS)
+  const factor = slowness < MIN_NOTABLE_SLOWNESS ? 1 : slowness
+  return factor * (health.meanMs || ASSUMED_RUN_MS) + (agent.zone === zone ? 0 : CROSS_ZONE_PENALTY_MS)
 }
 
 const pickByCredit = (agents: AgentHandle[], context: PickContext): AgentHandle | undefined => {
@@ -33,9 +33,9 @@
   let bestMs = Infinity
   for (const agent of agents) {
     // A credit alone is no slot: where none is free, a task waits better here, under its workspace's rules.
-    if (agent.credits === 0 || agent.free <= 0 || !context.health.maySend(agent.agentId)) continue
+    if (agent.credits === 0 || agent.freeSlots <= 0 || !context.health.maySend(agent.agentId)) continue
     const ms = expectedMs(agent, context)
-    const isBetter = ms < bestMs || (ms === bestMs && agent.free > best!.free)
+    const isBetter = ms < bestMs || (ms === bestMs && agent.freeSlots > best!.freeSlots)
     if (!isBetter) continue
     best = agent
     bestMs = ms
@@ -46,15 +46,15 @@
 const pickRandom = (agents: AgentHandle[], { random }: PickContext): AgentHandle | undefined =>
   agents[Math.floor(random() * agents.length)]
 
-const pickOfTwo = (agents: AgentHandle[], context: PickContext): AgentHandle | undefined => {
-  const a = pickRandom(agents, context)
-  const b = pickRandom(agents, context)
-  return a !== undefined && b !== undefined && b.sent.size < a.sent.size ? b : a
+const pickLessLoadedOfTwo = (agents: AgentHandle[], context: PickContext): AgentHandle | undefined => {
+  const first = pickRandom(agents, context)
+  const second = pickRandom(agents, context)
+  return first !== undefined && second !== undefined && second.sent.size < first.sent.size ? second : first
 }
 
 /** The product's rule, and the baselines that it is measured against. */
 export const PICK_RULES = {
   credits: { needsCredit: true, pick: pickByCredit },
   random: { needsCredit: false, pick: pickRandom },
-  two_choices: { needsCredit: false, pick: pickOfTwo }
+  two_choices: { needsCredit: false, pick: pickLessLoadedOfTwo }
 } as const satisfies Record<string, PickRule>
--- a/packages/coordination/src/dispatch/serviceRegistry.ts
+++ b/packages/coordination/src/dispatch/serviceRegistry.ts
@@ -8,7 +8,7 @@
   constructor (private readonly create: () => ServiceState) {}
 
   /** A service, made at its first mention. */
-  of (name: string): ServiceState {
+  getOrCreate (name: string): ServiceState {
     const service = this.services.get(name) ?? this.create()
     this.services.set(name, service)
     return service
@@ -24,29 +24,29 @@
   }
 
   /** Services with tasks that wait. */
-  get waiting (): ServiceState[] {
+  get withQueuedTasks (): ServiceState[] {
     return [...this.services.values()].filter(({ queue }) => queue.size > 0)
   }
 
   /** Tasks of a workspace that wait. */
-  queuedOf (workspace: string): number {
-    return this.waiting.reduce((sum, { queue }) => sum + queue.queuedOf(workspace), 0)
+  queuedTasks (workspace: string): number {
+    return this.withQueuedTasks.reduce((sum, { queue }) => sum + queue.queuedTasks(workspace), 0)
   }
 
   /** Tasks that wait. */
   get queuedTotal (): number {
-    return this.waiting.reduce((sum, { queue }) => sum + queue.size, 0)
+    return this.withQueuedTasks.reduce((sum, { queue }) => sum + queue.size, 0)
   }
 
   /** Moves an agent to the service that its endpoint offers now; an empty name for none. */
-  place (agent: AgentHandle, name: string): void {
+  assign (agent: AgentHandle, name: string): void {
     if (agent.service === name) return
-    const before = this.services.get(agent.service)
-    before?.agents.delete(agent.agentId)
-    before?.health.remove(agent.agentId)
+    const previous = this.services.get(agent.service)
+    previous?.agents.delete(agent.agentId)
+    previous?.health.remove(agent.agentId)
     agent.service = name
     if (name === '') return
-    const service = this.of(name)
+    const service = this.getOrCreate(name)
     service.agents.set(agent.agentId, agent)
     service.health.add(agent.agentId)
   }
--- a/packages/coordination/src/dispatch/serviceState.ts
+++ b/packages/coordination/src/dispatch/serviceState.ts
@@ -10,7 +10,7 @@
   readonly health: EndpointHealth
   readonly agents = new Map<string, AgentHandle>()
   /** True while a pass over the queue is due. */
-  pumpDue = false
+  isSendScheduled = false
 
   /**
    * @param isEvacuated - true for an availability zone whose endpoints get no start
@@ -21,13 +21,13 @@
   }
 
   /** Agents that take new work. */
-  get open (): AgentHandle[] {
-    return [...this.agents.values()].filter(({ link, resumed, leaving, zone }) =>
+  get availableAgents (): AgentHandle[] {
+    return [...this.agents.values()].filter(({ link, isResumed: resumed, isLeaving: leaving, zone }) =>
       link !== undefined && resumed && !leaving && !this.isEvacuated(zone))
   }
 
   /** Slots of all endpoints that take new work. */
   get slots (): number {
-    return this.open.reduce((sum, { slots }) => sum + slots, 0)
+    return this.availableAgents.reduce((sum, { slots }) => sum + slots, 0)
   }
 }
--- a/packages/coordination/src/dispatch/takeovers.ts
+++ b/packages/coordination/src/dispatch/takeovers.ts
@@ -6,17 +6,17 @@
 import type { Job } from '../jobs/job.js'
 import { taskKey } from '../tasks/keys.js'
 import type { AgentHandle } from './agentHandle.js'
-import type { InFlight } from './inFlight.js'
+import type { InFlightTasks } from './inFlightTasks.js'
 
 /** What takeovers need. */
 export interface TakeoverOptions {
   clock: Clock
-  inFlight: InFlight
+  inFlight: InFlightTasks
   /** How long to wait for agents to say what they know, in ms. */
   collectTimeoutMs: number
   isOpen: (job: Job) => boolean
   /** No agent reached knows all tasks. */
-  onMissing: (job: Job) => void
+  onIncomplete: (job: Job) => void
 }
 
 /**
@@ -33,12 +33,12 @@
    */
   begin (job: Job, keepMs: number, agents: AgentHandle[]): void {
     const { clock, collectTimeoutMs } = this.options
-    const reached = agents.filter(({ link, resumed }) => link !== undefined && resumed)
-    job.collecting = new Set(reached.map(({ agentId }) => agentId))
+    const reachable = agents.filter(({ link, isResumed: resumed }) => link !== undefined && resumed)
+    job.collecting = new Set(reachable.map(({ agentId }) => agentId))
     const message = create(CollectSchema, { workspace: job.workspace, submission: job.id, keepMs })
-    for (const { link } of reached) link!.add((frame) => { frame.collects.push(message) })
-    clock.after(collectTimeoutMs, () => this.end(job))
-    if (reached.length === 0) this.end(job)
+    for (const { link } of reachable) link!.add((frame) => { frame.collects.push(message) })
+    clock.after(collectTimeoutMs, () => this.failIfIncomplete(job))
+    if (reachable.length === 0) this.failIfIncomplete(job)
   }
 
   /** An agent said which tasks of the job it runs; results of those that ended came before. */
@@ -46,7 +46,7 @@
     if (job?.collecting === undefined) return
     for (const key of running) this.expectResult(agent, job, key)
     job.collecting.delete(agent.agentId)
-    if (job.collecting.size === 0) this.end(job)
+    if (job.collecting.size === 0) this.failIfIncomplete(job)
   }
 
   private expectResult (agent: AgentHandle, job: Job, key: TaskKey): void {
@@ -57,9 +57,9 @@
     this.options.inFlight.add(agent, taskKey(key), { job, task: key.task, sentAt: this.options.clock.now(), estimateMs: 0 })
   }
 
-  private end (job: Job): void {
+  private failIfIncomplete (job: Job): void {
     if (isFinished(job) || !this.options.isOpen(job)) return
     const isMissing = job.tasks.some(({ state }) => state === TASK_STATES.unknown)
-    if (isMissing) this.options.onMissing(job)
+    if (isMissing) this.options.onIncomplete(job)
   }
 }
--- a/packages/coordination/src/dispatch/taskEnds.ts
+++ b/packages/coordination/src/dispatch/taskEndHandler.ts
@@ -1,22 +1,22 @@
 import type { Clock } from '@hazellift/common'
 import { REASONS, TASK_OUTCOMES } from '@hazellift/protocol'
 import type { Reason, TaskResult } from '@hazellift/protocol'
-import { VERDICTS, judgeResult } from '../health/judgeResult.js'
+import { ENDPOINT_VERDICTS, judgeResult } from '../health/judgeResult.js'
 import { TASK_STATES } from '../jobs/job.js'
 import type { Job } from '../jobs/job.js'
 import { submissionKey, taskKey } from '../tasks/keys.js'
 import type { AgentHandle, SentTask } from './agentHandle.js'
 import type { DispatchEvents } from './dispatcherOptions.js'
-import type { InFlight } from './inFlight.js'
+import type { InFlightTasks } from './inFlightTasks.js'
 import type { ServiceRegistry } from './serviceRegistry.js'
 import type { ServiceState } from './serviceState.js'
 
 /** What settling ends needs. */
-export interface TaskEndsOptions {
+export interface TaskEndHandlerOptions {
   clock: Clock
   events: DispatchEvents
   services: ServiceRegistry
-  inFlight: InFlight
+  inFlight: InFlightTasks
   /** Jobs that are not finished, by key. */
   jobs: Map<string, Job>
   /** A task waits again. */
@@ -27,29 +27,29 @@
 const ANSWERED_REASONS: ReadonlySet<string> = new Set([REASONS.endpointError, REASONS.badAnswer])
 
 /** What becomes of a task, its job and its endpoint's record once a start has ended. */
-export class TaskEnds {
-  constructor (private readonly options: TaskEndsOptions) {}
+export class TaskEndHandler {
+  constructor (private readonly options: TaskEndHandlerOptions) {}
 
   /** An agent told how a start ended. */
   onResult (agent: AgentHandle, result: TaskResult): void {
     agent.link?.acknowledge(result.seq)
     const key = result.key!
     const sent = this.options.inFlight.remove(agent, taskKey(key))
-    if (sent !== undefined) this.settleCharge(sent, result)
+    if (sent !== undefined) this.correctCharge(sent, result)
     // Also where the job is over: a job's first failure must not hide the others of its endpoint.
-    this.judgeEndpoint(agent, result)
+    this.recordHealth(agent, result)
     const job = this.options.jobs.get(submissionKey(key.workspace, key.submission))
     const task = job?.tasks[key.task]
     const isAwaited = task !== undefined && (sent !== undefined || task.state === TASK_STATES.unknown)
     if (job === undefined || task === undefined || !isAwaited) return this.options.events.wasted(result.reason as Reason || REASONS.duplicateStart)
-    this.settleTask(job, key.task, result)
+    this.onTaskEnded(job, key.task, result)
   }
 
-  private settleCharge ({ job, estimateMs }: SentTask, result: TaskResult): void {
+  private correctCharge ({ job, estimateMs }: SentTask, result: TaskResult): void {
     this.options.services.find(job.service)?.queue.charge(job.workspace, result.runMs - estimateMs)
   }
 
-  private settleTask (job: Job, index: number, result: TaskResult): void {
+  private onTaskEnded (job: Job, index: number, result: TaskResult): void {
     this.options.events.ended(job, result)
     if (result.reason === REASONS.takenOver) return this.options.events.takenOver(job)
     if (result.outcome === TASK_OUTCOMES.done) return this.onDone(job, index, result.body)
@@ -57,13 +57,13 @@
     this.onFailed(job, index, result)
   }
 
-  private judgeEndpoint (agent: AgentHandle, result: TaskResult): void {
+  private recordHealth (agent: AgentHandle, result: TaskResult): void {
     const health = this.options.services.find(agent.service)?.health
     if (health === undefined) return
     switch (judgeResult(result)) {
-      case VERDICTS.succeeded: return health.succeeded(agent.agentId, result.runMs)
-      case VERDICTS.failed: return health.failed(agent.agentId)
-      case VERDICTS.none: return health.unsent(agent.agentId)
+      case ENDPOINT_VERDICTS.succeeded: return health.succeeded(agent.agentId, result.runMs)
+      case ENDPOINT_VERDICTS.failed: return health.failed(agent.agentId)
+      case ENDPOINT_VERDICTS.none: return health.inconclusive(agent.agentId)
     }
   }
 
@@ -90,8 +90,8 @@
     const task = job.tasks[index]!
     job.hasRun = true
     task.failures++
-    const isOver = ANSWERED_REASONS.has(result.reason)
-    const mayRetry = isOver && !job.unrepeatable && job.collecting === undefined && task.failures <= job.retries
+    const isTerminated = ANSWERED_REASONS.has(result.reason)
+    const mayRetry = isTerminated && !job.unrepeatable && job.collecting === undefined && task.failures <= job.retries
     if (mayRetry) return this.requeue(job, index)
     const detail = result.body === '' ? '' : `: ${result.body}`
     this.options.events.failed(job, REASONS.taskFailed, `task ${index}: ${result.reason}${detail}`)
@@ -101,8 +101,8 @@
     const task = job.tasks[index]!
     task.state = TASK_STATES.queued
     task.queuedAt = this.options.clock.now()
-    const service = this.options.services.of(job.service)
-    service.queue.putBack(job, index)
+    const service = this.options.services.getOrCreate(job.service)
+    service.queue.requeue(job, index)
     this.options.onQueued(service)
   }
 }
--- a/packages/coordination/src/dispatch/taskSender.ts
+++ b/packages/coordination/src/dispatch/taskSender.ts
@@ -5,8 +5,8 @@
 import type { Job } from '../jobs/job.js'
 import { taskKey } from '../tasks/keys.js'
 import type { AgentHandle } from './agentHandle.js'
-import { refreshDemand, returnExcess, spreadDemand } from './demand.js'
-import type { InFlight } from './inFlight.js'
+import { refreshDemand, returnExcessCredits, distributeDemand } from './demand.js'
+import type { InFlightTasks } from './inFlightTasks.js'
 import type { PickRule } from './pickRules.js'
 import type { ServiceState } from './serviceState.js'
 
@@ -17,7 +17,7 @@
   /** The entry's availability zone. */
   zone: string
   rule: PickRule
-  inFlight: InFlight
+  inFlight: InFlightTasks
   events: { started: (job: Job, waitedMs: number) => void }
   /** Runs `fn` after the events that are ready now. */
   defer: (fn: () => void) => void
@@ -32,35 +32,35 @@
 
   /** Looks at a service's queue soon, once for whatever changes until then. */
   schedule (service: ServiceState): void {
-    if (service.pumpDue) return
-    service.pumpDue = true
+    if (service.isSendScheduled) return
+    service.isSendScheduled = true
     this.options.defer(() => {
-      service.pumpDue = false
-      this.pump(service)
+      service.isSendScheduled = false
+      this.sendQueued(service)
     })
   }
 
-  private pump (service: ServiceState): void {
+  private sendQueued (service: ServiceState): void {
     const { rule, zone, random } = this.options
-    const agents = service.open
+    const agents = service.availableAgents
     const context = { zone, random, health: service.health }
-    const used = new Set<AgentHandle>()
+    const receivers = new Set<AgentHandle>()
     while (service.queue.size > 0) {
       const agent = rule.pick(agents, context)
       if (agent === undefined) break
       const next = service.queue.take()
       if (next === undefined) break
       this.send(service, agent, next.job, next.task)
-      used.add(agent)
+      receivers.add(agent)
     }
-    if (rule.needsCredit) this.tellDemand(service, agents, used)
+    if (rule.needsCredit) this.updateDemand(service, agents, receivers)
   }
 
-  private tellDemand (service: ServiceState, agents: AgentHandle[], used: Iterable<AgentHandle>): void {
+  private updateDemand (service: ServiceState, agents: AgentHandle[], receivers: Iterable<AgentHandle>): void {
     const waiting = service.queue.runnable
-    for (const agent of used) refreshDemand(agent, waiting, agents.length)
-    if (waiting === 0) returnExcess(agents)
-    else spreadDemand(agents.filter(({ agentId }) => service.health.maySend(agentId)), waiting)
+    for (const agent of receivers) refreshDemand(agent, waiting, agents.length)
+    if (waiting === 0) returnExcessCredits(agents)
+    else distributeDemand(agents.filter(({ agentId }) => service.health.maySend(agentId)), waiting)
   }
 
   private send (service: ServiceState, agent: AgentHandle, job: Job, index: number): void {
@@ -73,7 +73,7 @@
     task.agentId = agent.agentId
     job.mayHaveRun++
     if (this.options.rule.needsCredit) agent.credits--
-    agent.free--
+    agent.freeSlots--
     this.options.inFlight.add(agent, taskKey(key), { job, task: index, sentAt: now, estimateMs })
     service.health.sent(agent.agentId)
     service.queue.charge(job.workspace, estimateMs)
--- a/packages/coordination/src/entries/entryAnnouncement.ts
+++ b/packages/coordination/src/entries/entryAnnouncement.ts
@@ -9,7 +9,7 @@
   /** Tells the entry at an address of this one; gives its incarnation if it answered. */
   introduce: (address: string, self: EntryRecord) => Promise<string | undefined>
   /** After this time in the table, entries that read it have seen this one's row; in ms. */
-  seenAfterMs: number
+  visibleAfterMs: number
 }
 
 const PAUSE_MS = 100
@@ -38,21 +38,21 @@
 
   /** Resolves once this entry may claim submissions, or was stopped. */
   async run (): Promise<void> {
-    const { clock, directory, seenAfterMs } = this.options
-    await this.until(() => directory.isEntered)
+    const { clock, directory, visibleAfterMs: seenAfterMs } = this.options
+    await this.waitUntil(() => directory.isRegistered)
     const enteredAt = clock.now()
     // Of two entries that join at once, the one that reads after both rows stand sees the other.
-    await this.until(() => directory.refresh())
+    await this.waitUntil(() => directory.refresh())
     const told = new Set<string>()
-    await this.until(async () => clock.now() - enteredAt >= seenAfterMs || await this.tellOthers(told))
+    await this.waitUntil(async () => clock.now() - enteredAt >= seenAfterMs || await this.notifyOthers(told))
     this.done = !this.stopped
   }
 
-  private async until (isTrue: () => Promise<boolean> | boolean): Promise<void> {
+  private async waitUntil (isTrue: () => Promise<boolean> | boolean): Promise<void> {
     while (!this.stopped && !await isTrue()) await this.options.clock.sleep(PAUSE_MS)
   }
 
-  private async tellOthers (told: Set<string>): Promise<boolean> {
+  private async notifyOthers (told: Set<string>): Promise<boolean> {
     const { directory, introduce } = this.options
     const untold = directory.others.filter(({ incarnation }) => !told.has(incarnation))
     await Promise.all(untold.map(async ({ sessionAddress, incarnation }) => {
--- a/packages/coordination/src/entries/entryDirectory.test.ts
+++ b/packages/coordination/src/entries/entryDirectory.test.ts
@@ -26,7 +26,7 @@
     self: () => ({ entryId: 'entry-0', incarnation: 'a', apiAddress: '', sessionAddress: '' }),
     heartbeatMs: 1000,
     staleAfterMs: 5000,
-    rowMemoryMs: 60_000,
+    rowRetentionMs: 60_000,
     configVersion: () => 0n,
     onChange: () => {}
   })
--- a/packages/coordination/src/entries/entryDirectory.ts
+++ b/packages/coordination/src/entries/entryDirectory.ts
@@ -16,14 +16,14 @@
   heartbeatMs: number
   staleAfterMs: number
   /** How long the rows of entries that ended or fell silent stay, in ms. */
-  rowMemoryMs: number
+  rowRetentionMs: number
   configVersion: () => bigint
   /** Called when the set of live entries changed. */
   onChange: () => void
 }
 
 const MAX_ENTRIES = 1000
-const HEARTBEAT_DEADLINES = 2
+const WRITE_TIMEOUT_HEARTBEATS = 2
 
 /** Keeps this entry's row fresh and watches the rows of the others. */
 export class EntryDirectory {
@@ -32,11 +32,11 @@
   private lastScanAt: number | undefined
   private readAt = -Infinity
   private ownVersion = 0n
-  private beat = 0n
+  private heartbeatCount = 0n
   private leaving = false
   private stopped = false
   private liveKey = ''
-  private replaced = false
+  private hasReplacedRow = false
 
   constructor (private readonly options: EntryDirectoryOptions) {
     this.roster = new EntryRoster({ ...options, now: options.clock.now })
@@ -48,7 +48,7 @@
   }
 
   /** True once the own row stands and the others' were read. */
-  get isEntered (): boolean {
+  get isRegistered (): boolean {
     return this.ownVersion > 0n && this.lastScanAt !== undefined
   }
 
@@ -98,10 +98,10 @@
     const { self, configVersion } = this.options
     return create(EntryRecordSchema, {
       ...self(),
-      beat: this.beat,
+      beat: this.heartbeatCount,
       leaving: this.leaving,
       configVersion: configVersion(),
-      replaced: this.replaced,
+      replaced: this.hasReplacedRow,
       ended: this.stopped
     })
   }
@@ -146,7 +146,7 @@
     this.lastScanAt = clock.now()
     this.readAt = startedAt
     this.roster.apply(res.value, Math.min(elapsedMs, heartbeatMs * 2))
-    for (const entry of this.roster.unchangedFor(this.options.rowMemoryMs)) void this.removeRow(entry)
+    for (const entry of this.roster.unchangedLongerThan(this.options.rowRetentionMs)) void this.removeRow(entry)
     this.announceChange()
     return true
   }
@@ -159,13 +159,13 @@
   }
 
   private async write (): Promise<void> {
-    const outcome = await this.commitOwnRow(this.options.heartbeatMs * HEARTBEAT_DEADLINES)
+    const outcome = await this.commitOwnRow(this.options.heartbeatMs * WRITE_TIMEOUT_HEARTBEATS)
     if (outcome.type === 'committed') this.ownVersion = outcome.version
     if (outcome.type === 'conflict') await this.onRowConflict(outcome.row)
   }
 
   private commitOwnRow (timeoutMs: number): Promise<CommitOutcome> {
-    this.beat++
+    this.heartbeatCount++
     const record = this.ownRecord()
     const write = { key: ENTRY_PREFIX + record.entryId, ifVersion: this.ownVersion, value: toBinary(EntryRecordSchema, record) }
     return this.options.group.commit(write, this.options.clock.now() + timeoutMs)
@@ -173,7 +173,7 @@
 
   /** The row of this entry's earlier process, or an own write whose outcome stayed unknown. */
   private async onRowConflict (row: TableRow): Promise<void> {
-    this.replaced ||= row.version !== 0n && !this.isOwn(row)
+    this.hasReplacedRow ||= row.version !== 0n && !this.isOwn(row)
     const isFirst = this.ownVersion === 0n
     this.ownVersion = row.version
     if (isFirst) await this.write()
--- a/packages/coordination/src/entries/entryRoster.ts
+++ b/packages/coordination/src/entries/entryRoster.ts
@@ -63,7 +63,7 @@
   }
 
   /** Other entries' rows that stayed unchanged for longer than this. */
-  unchangedFor (ms: number): KnownEntry[] {
+  unchangedLongerThan (ms: number): KnownEntry[] {
     return [...this.known.values()].filter(({ record, unchangedMs }) =>
       unchangedMs > ms && record.entryId !== this.options.self().entryId)
   }
@@ -72,7 +72,7 @@
   introduce (record: EntryRecord): void {
     const before = this.known.get(record.entryId)
     if (before?.record.incarnation === record.incarnation) return
-    this.noteEndOf(before, record)
+    this.detectEnd(before, record)
     this.known.set(record.entryId, { record, version: 0n, unchangedMs: 0 })
   }
 
@@ -86,7 +86,7 @@
   private applyRow (row: TableRow, elapsedMs: number): void {
     const record = fromBinary(EntryRecordSchema, row.value)
     const before = this.known.get(record.entryId)
-    this.noteEndOf(before, record)
+    this.detectEnd(before, record)
     const unchangedMs = before?.version === row.version ? before.unchangedMs + elapsedMs : 0
     this.known.set(record.entryId, { record, version: row.version, unchangedMs })
   }
@@ -95,15 +95,15 @@
     const isIntroduced = entry.version === 0n && entry.unchangedMs < this.options.staleAfterMs
     // Its row may be younger than this read.
     if (isIntroduced) entry.unchangedMs += elapsedMs
-    else this.forget(entry)
+    else this.remove(entry)
   }
 
-  private forget ({ record }: KnownEntry): void {
+  private remove ({ record }: KnownEntry): void {
     this.known.delete(record.entryId)
     if (!record.ended && record.entryId !== this.options.self().entryId) this.noteEnd()
   }
 
-  private noteEndOf (before: KnownEntry | undefined, record: EntryRecord): void {
+  private detectEnd (before: KnownEntry | undefined, record: EntryRecord): void {
     const isSame = before?.record.incarnation === record.incarnation
     const wasReplaced = before !== undefined && !isSame && !before.record.ended
     const isNewlyEnded = record.ended && !(isSame && before!.record.ended)
--- a/packages/coordination/src/health/endpointHealth.test.ts
+++ b/packages/coordination/src/health/endpointHealth.test.ts
@@ -6,7 +6,7 @@
 
 const setUp = (endpoints: number, maxShare = 0.5) => {
   const clock = { now: 0 }
-  const health = new EndpointHealth({ now: () => clock.now, maxShare, backoff: () => BACKOFF_MS })
+  const health = new EndpointHealth({ now: () => clock.now, maxEjectedShare: maxShare, ejectionBackoff: () => BACKOFF_MS })
   for (let n = 0; n < endpoints; n++) health.add(`e${n}`)
   return { clock, health }
 }
@@ -30,7 +30,7 @@
         else if (times === 0) health.succeeded(`e${index}`, 100)
       }
     }
-    const found = failures.map((_, index) => `e${index}`).filter((id) => health.stateOf(id) === HEALTH_STATES.setAside)
+    const found = failures.map((_, index) => `e${index}`).filter((id) => health.stateOf(id) === HEALTH_STATES.ejected)
     expect(found).toEqual(aside)
   })
 
@@ -42,15 +42,15 @@
     { name: 'none but those that were done', heard: { done: 20, failed: 0, runMs: 2000 }, aside: false }
   ])('an endpoint of which other entries tell $name is set aside: $aside', ({ heard, aside }) => {
     const { health } = setUp(4)
-    health.heard('e0', heard)
-    expect(health.stateOf('e0') === HEALTH_STATES.setAside).toBe(aside)
+    health.recordEnds('e0', heard)
+    expect(health.stateOf('e0') === HEALTH_STATES.ejected).toBe(aside)
   })
 
   test('an endpoint that other entries find slow counts as slow', () => {
     const { health } = setUp(2)
     for (let n = 0; n < 40; n++) {
       health.succeeded('e1', 100)
-      health.heard('e0', { done: 2, failed: 0, runMs: 1000 })
+      health.recordEnds('e0', { done: 2, failed: 0, runMs: 1000 })
     }
     expect(health.slownessOf('e0')).toBeGreaterThan(health.slownessOf('e1') * 2)
   })
@@ -64,7 +64,7 @@
     health.sent('e0')
     expect(health.maySend('e0')).toBe(false)
     health.failed('e0')
-    expect(health.stateOf('e0')).toBe(HEALTH_STATES.setAside)
+    expect(health.stateOf('e0')).toBe(HEALTH_STATES.ejected)
     clock.now = 2 * BACKOFF_MS
     expect(health.maySend('e0')).toBe(true)
     health.sent('e0')
@@ -78,7 +78,7 @@
     clock.now = BACKOFF_MS
     health.maySend('e0')
     health.sent('e0')
-    health.unsent('e0')
+    health.inconclusive('e0')
     expect(health.maySend('e0')).toBe(true)
   })
 })
--- a/packages/coordination/src/health/endpointHealth.ts
+++ b/packages/coordination/src/health/endpointHealth.ts
@@ -7,15 +7,15 @@
 export interface EndpointHealthOptions {
   now: () => number
   /** Largest share of a service's endpoints that may be set aside. */
-  maxShare: number
+  maxEjectedShare: number
   /** Time aside, by the number of times in a row. */
-  backoff: (times: number) => number
+  ejectionBackoff: (ejections: number) => number
   /** Decides in place of the product's rule, for measurements. */
-  setAside?: Eject
+  eject?: Eject
 }
 
 /** How some starts at one endpoint ended. */
-export interface Ends {
+export interface EndCounts {
   done: number
   failed: number
   /** Run time of those done, all together, in ms. */
@@ -29,8 +29,8 @@
   /** Run time against the service's mean; 1 is usual. */
   slowness: number
   state: HealthState
-  asideUntil: number
-  timesAside: number
+  ejectedUntil: number
+  ejections: number
   /** Starts in flight since it is being probed. */
   probes: number
 }
@@ -50,8 +50,8 @@
   samples: 0,
   slowness: 1,
   state: HEALTH_STATES.healthy,
-  asideUntil: 0,
-  timesAside: 0,
+  ejectedUntil: 0,
+  ejections: 0,
   probes: 0
 })
 
@@ -94,7 +94,7 @@
   maySend (id: string): boolean {
     const record = this.records.get(id)
     if (record === undefined || record.state === HEALTH_STATES.healthy) return true
-    if (record.state === HEALTH_STATES.setAside && this.options.now() >= record.asideUntil) {
+    if (record.state === HEALTH_STATES.ejected && this.options.now() >= record.ejectedUntil) {
       record.state = HEALTH_STATES.probing
       record.probes = 0
     }
@@ -108,36 +108,36 @@
   }
 
   /** A start came to nothing that tells about the endpoint. */
-  unsent (id: string): void {
+  inconclusive (id: string): void {
     const record = this.records.get(id)
     if (record !== undefined && record.probes > 0) record.probes--
   }
 
   /** A task was answered. */
   succeeded (id: string, runMs: number): void {
-    this.heard(id, { done: 1, failed: 0, runMs })
+    this.recordEnds(id, { done: 1, failed: 0, runMs })
   }
 
   /** An attempt failed, or could not begin, at this endpoint. */
   failed (id: string): void {
-    this.heard(id, { done: 0, failed: 1, runMs: 0 })
+    this.recordEnds(id, { done: 0, failed: 1, runMs: 0 })
   }
 
   /** Starts ended at this endpoint, in whatever order. */
-  heard (id: string, { done, failed, runMs }: Ends): void {
+  recordEnds (id: string, { done, failed, runMs }: EndCounts): void {
     const record = this.records.get(id)
     if (done > 0) this.observeSpeed(record, done, runMs / done)
     if (record === undefined) return
     const count = done + failed
     record.samples += count
     record.failureShare = blend(record.failureShare, failed / count, FAILURE_WEIGHT, count)
-    if (failed === 0) return this.onSound(record)
-    const isSuspect = record.state === HEALTH_STATES.probing || this.isFarWorse(record)
-    if (isSuspect && record.state !== HEALTH_STATES.setAside && this.mayAside(record)) this.setAside(record)
-    else this.onSound(record)
+    if (failed === 0) return this.endProbing(record)
+    const isFailing = record.state === HEALTH_STATES.probing || this.isOutlier(record)
+    if (isFailing && record.state !== HEALTH_STATES.ejected && this.mayEject(record)) this.eject(record)
+    else this.endProbing(record)
   }
 
-  private onSound (record: EndpointRecord): void {
+  private endProbing (record: EndpointRecord): void {
     if (record.state === HEALTH_STATES.probing) this.restore(record)
   }
 
@@ -147,22 +147,22 @@
     if (record !== undefined) record.slowness = blend(record.slowness, ratio, SLOWNESS_WEIGHT, count)
   }
 
-  private isFarWorse (record: EndpointRecord): boolean {
+  private isOutlier (record: EndpointRecord): boolean {
     const peers = [...this.records.values()].filter((peer) => peer !== record)
-    const decide = this.options.setAside ?? eject
+    const decide = this.options.eject ?? eject
     return decide(viewOf(record), peers.map(viewOf))
   }
 
-  private mayAside (record: EndpointRecord): boolean {
+  private mayEject (record: EndpointRecord): boolean {
     const records = [...this.records.values()]
     const others = records.filter((other) => other !== record && other.state !== HEALTH_STATES.healthy)
-    return others.length + 1 <= records.length * this.options.maxShare
+    return others.length + 1 <= records.length * this.options.maxEjectedShare
   }
 
-  private setAside (record: EndpointRecord): void {
-    record.timesAside++
-    record.state = HEALTH_STATES.setAside
-    record.asideUntil = this.options.now() + this.options.backoff(record.timesAside)
+  private eject (record: EndpointRecord): void {
+    record.ejections++
+    record.state = HEALTH_STATES.ejected
+    record.ejectedUntil = this.options.now() + this.options.ejectionBackoff(record.ejections)
   }
 
   private restore (record: EndpointRecord): void {
--- a/packages/coordination/src/jobs/admission.ts
+++ b/packages/coordination/src/jobs/admission.ts
@@ -13,7 +13,7 @@
 export interface AdmissionOptions {
   clock: Clock
   dispatcher: Pick<Dispatcher, 'service' | 'queuedTasks' | 'queuedTotal' | 'runningTasks'>
-  find: (workspace: string) => WorkspaceConfig | undefined
+  findConfig: (workspace: string) => WorkspaceConfig | undefined
   /** Entries that share each limit. */
   entryCount: () => number
   maxQueued: number
@@ -38,7 +38,7 @@
 /** The lower of two limits where 0 is none. */
 const lowerLimit = (a: number, b: number): number => a === 0 || b === 0 ? Math.max(a, b) : Math.min(a, b)
 
-const notRun = (reason: Reason, message: string, retryAfterMs = 0): Refusal =>
+const refuseNotRun = (reason: Reason, message: string, retryAfterMs = 0): Refusal =>
   refuse(reason, message, RUN_STATES.notRun, retryAfterMs)
 
 /**
@@ -54,14 +54,14 @@
 
   /** Most tasks of a workspace that may run from this entry at once. */
   maxRunningOf (workspace: string): number {
-    const configured = this.options.find(workspace)?.record.maxRunning ?? 0
+    const configured = this.options.findConfig(workspace)?.record.maxRunning ?? 0
     const limit = lowerLimit(configured, this.limits.get(workspace)?.running ?? 0)
-    return limit === 0 ? Infinity : this.share(limit)
+    return limit === 0 ? Infinity : this.shareOfThisEntry(limit)
   }
 
   /** Share of a workspace against the others. */
   weightOf (workspace: string): number {
-    return this.options.find(workspace)?.record.weight || 1
+    return this.options.findConfig(workspace)?.record.weight || 1
   }
 
   /** Decides about a submission. */
@@ -69,8 +69,8 @@
     const workspace = config.record.name
     const decision = this.decide(config, spec, deadlineMs)
     if ('type' in decision) return decision
-    this.remember(config, decision)
-    if (!decision.admit) return notRun(REASONS.policyDenied, decision.reason)
+    this.updateLimits(config, decision)
+    if (!decision.admit) return refuseNotRun(REASONS.policyDenied, decision.reason)
     return this.checkService(spec, workspace, deadlineMs) ??
       this.checkQueue(workspace, spec.tasks.length) ??
       this.checkRate(workspace, spec.tasks.length) ??
@@ -81,14 +81,14 @@
   reserve (workspace: string, tasks: number): () => void {
     this.reserved.set(workspace, this.reservedOf(workspace) + tasks)
     return () => {
-      const left = this.reservedOf(workspace) - tasks
-      if (left > 0) this.reserved.set(workspace, left)
+      const remaining = this.reservedOf(workspace) - tasks
+      if (remaining > 0) this.reserved.set(workspace, remaining)
       else this.reserved.delete(workspace)
     }
   }
 
   private decide (config: WorkspaceConfig, spec: JobSpec, deadlineMs: number): PolicyDecision | Refusal {
-    if (config.compiled === undefined) return notRun(REASONS.policyFailed, 'the workspace\'s policy does not compile here')
+    if (config.compiled === undefined) return refuseNotRun(REASONS.policyFailed, 'the workspace\'s policy does not compile here')
     const { dispatcher } = this.options
     const workspace = config.record.name
     const usage = {
@@ -101,11 +101,11 @@
     try {
       return config.compiled.evaluate(job, usage)
     } catch (err) {
-      return notRun(REASONS.policyFailed, errorMessage(err))
+      return refuseNotRun(REASONS.policyFailed, errorMessage(err))
     }
   }
 
-  private remember ({ record }: WorkspaceConfig, { running, queued, rate }: PolicyDecision): void {
+  private updateLimits ({ record }: WorkspaceConfig, { running, queued, rate }: PolicyDecision): void {
     const limits = {
       running,
       queued: lowerLimit(record.maxQueued, queued),
@@ -122,31 +122,31 @@
     const service = this.options.dispatcher.service(spec.service)
     const slots = service?.slots ?? 0
     if (service === undefined || slots === 0) {
-      return notRun(REASONS.noEndpoint, `no endpoint serves '${spec.service}' now`, NO_ENDPOINT_RETRY_MS)
+      return refuseNotRun(REASONS.noEndpoint, `no endpoint serves '${spec.service}' now`, NO_ENDPOINT_RETRY_MS)
     }
     // A bound from below: even with every slot to itself the job could not end in time.
-    const ahead = service.queue.queuedOf(workspace) + spec.tasks.length
-    const leastMs = Math.ceil(ahead / slots - 1) * service.health.meanMs
-    if (leastMs <= deadlineMs) return undefined
-    const message = `${ahead} tasks on ${slots} slots take about ${Math.round(leastMs)} ms`
-    return notRun(REASONS.deadlineUnreachable, message, Math.round(leastMs - deadlineMs))
+    const queuedTasks = service.queue.queuedTasks(workspace) + spec.tasks.length
+    const minMs = Math.ceil(queuedTasks / slots - 1) * service.health.meanMs
+    if (minMs <= deadlineMs) return undefined
+    const message = `${queuedTasks} tasks on ${slots} slots take about ${Math.round(minMs)} ms`
+    return refuseNotRun(REASONS.deadlineUnreachable, message, Math.round(minMs - deadlineMs))
   }
 
   private checkQueue (workspace: string, tasks: number): Refusal | undefined {
     const { dispatcher, maxQueued } = this.options
     if (dispatcher.queuedTotal + tasks > maxQueued) {
-      return notRun(REASONS.queueFull, 'this entry\'s queue is full', QUEUE_RETRY_MS)
+      return refuseNotRun(REASONS.queueFull, 'this entry\'s queue is full', QUEUE_RETRY_MS)
     }
     const limit = this.limits.get(workspace)?.queued ?? 0
     const queued = dispatcher.queuedTasks(workspace) + this.reservedOf(workspace) + tasks
-    if (limit === 0 || queued <= this.share(limit)) return undefined
-    return notRun(REASONS.workspaceQueueFull, 'the workspace has too many tasks queued', QUEUE_RETRY_MS)
+    if (limit === 0 || queued <= this.shareOfThisEntry(limit)) return undefined
+    return refuseNotRun(REASONS.workspaceQueueFull, 'the workspace has too many tasks queued', QUEUE_RETRY_MS)
   }
 
   private checkRate (workspace: string, tasks: number): Refusal | undefined {
     const bucket = this.buckets.get(workspace)!
     const waitMs = bucket.waitMs()
-    if (waitMs > 0) return notRun(REASONS.workspaceRate, 'the workspace submits too fast', waitMs)
+    if (waitMs > 0) return refuseNotRun(REASONS.workspaceRate, 'the workspace submits too fast', waitMs)
     bucket.take(tasks)
     return undefined
   }
@@ -156,7 +156,7 @@
   }
 
   /** Part of a workspace's limit that this entry may use. */
-  private share (limit: number): number {
+  private shareOfThisEntry (limit: number): number {
     return Math.max(1, Math.ceil(limit / this.options.entryCount()))
   }
 }
--- a/packages/coordination/src/jobs/answerWindow.ts
+++ b/packages/coordination/src/jobs/answerWindow.ts
@@ -8,7 +8,7 @@
 }
 
 interface StoredAnswer extends RememberedAnswer {
-  at: number
+  addedAt: number
   bytes: number
 }
 
@@ -20,10 +20,10 @@
 }
 
 /** Cost of an entry beside its results, about. */
-const BASE_BYTES = 512
+const ANSWER_OVERHEAD_BYTES = 512
 
 const sizeOf = ({ results }: JobAnswer): number =>
-  results.reduce((sum, result) => sum + result.length, BASE_BYTES)
+  results.reduce((sum, result) => sum + result.length, ANSWER_OVERHEAD_BYTES)
 
 /** Final answers of the last while, bounded in time and bytes; the oldest go first. */
 export class AnswerWindow {
@@ -42,7 +42,7 @@
   add (key: string, remembered: RememberedAnswer): void {
     this.delete(key)
     const bytes = sizeOf(remembered.answer)
-    this.answers.set(key, { ...remembered, at: this.options.now(), bytes })
+    this.answers.set(key, { ...remembered, addedAt: this.options.now(), bytes })
     this.bytes += bytes
     this.trim()
   }
@@ -54,10 +54,10 @@
 
   /** Forgets what is too old or too much. */
   trim (): void {
-    const oldest = this.options.now() - this.options.maxMs
-    for (const [key, { at }] of this.answers) {
-      if (at >= oldest && this.bytes <= this.options.maxBytes) return
-      if (at >= oldest) this.droppedEarlyAt = this.options.now()
+    const oldestAt = this.options.now() - this.options.maxMs
+    for (const [key, { addedAt: at }] of this.answers) {
+      if (at >= oldestAt && this.bytes <= this.options.maxBytes) return
+      if (at >= oldestAt) this.droppedEarlyAt = this.options.now()
       this.delete(key)
     }
   }
--- a/packages/coordination/src/jobs/bodyHash.ts
+++ b/packages/coordination/src/jobs/bodyHash.ts
@@ -10,8 +10,8 @@
  */
 export const bodyHash = ({ service, tasks, unrepeatable, labels }: JobSpec): Uint8Array => {
   const sortedLabels = Object.entries(labels).sort(([a], [b]) => a < b ? -1 : 1)
-  const facts = [service, unrepeatable, sortedLabels, tasks.map(({ payload }) => payload)]
-  return createHash('sha256').update(JSON.stringify(facts)).digest()
+  const hashedFields = [service, unrepeatable, sortedLabels, tasks.map(({ payload }) => payload)]
+  return createHash('sha256').update(JSON.stringify(hashedFields)).digest()
 }
 
 /** True if both hashes are of the same body. */
--- a/packages/coordination/src/jobs/jobService.ts
+++ b/packages/coordination/src/jobs/jobService.ts
@@ -7,7 +7,7 @@
 import type { EntryDirectory } from '../entries/entryDirectory.js'
 import { submissionKey } from '../tasks/keys.js'
 import type { Admission } from './admission.js'
-import { Attachment } from './attachment.js'
+import { ClaimFollower } from './claimFollower.js'
 import { bodyHash, isSameBody } from './bodyHash.js'
 import { JobStarter, STORE_RETRY_MS } from './jobStarter.js'
 import type { AdmittedJob, BeginOutcome } from './jobStarter.js'
@@ -43,7 +43,7 @@
 
 const UNSAVED_RETRY_MS = 1000
 /** Part of the stale time up to which a read counts as fresh; entries announce themselves for all of it. */
-const FRESH_SHARE = 0.75
+const FRESH_READ_SHARE = 0.75
 
 const unsavedReply: JobReply = refuse(REASONS.answerUnsaved,
   'the job is over, but its final state is not saved yet; ask again', RUN_STATES.mayHaveRun, UNSAVED_RETRY_MS)
@@ -54,15 +54,15 @@
 export class JobService {
   /** What this entry tells others of its jobs. */
   readonly peerAnswers: PeerAnswers
-  private readonly attachment: Attachment
-  private readonly outage: OutageLookup
+  private readonly claimFollower: ClaimFollower
+  private readonly outageLookup: OutageLookup
   /** Submissions whose claim is being written here. */
   private readonly claiming = new Map<string, Promise<unknown>>()
   private readonly starter: JobStarter
   private stopping = false
 
   constructor (private readonly options: JobServiceOptions) {
-    this.attachment = new Attachment({ ...options, ownAnswer: (claim) => this.ownAnswer(claim) })
+    this.claimFollower = new ClaimFollower({ ...options, ownClaimState: (claim) => this.ownClaimState(claim) })
     this.starter = new JobStarter(options)
     this.peerAnswers = new PeerAnswers({
       owned: options.owned,
@@ -70,10 +70,10 @@
       afterClaiming: async (key) => this.claiming.get(key),
       isReleased: (nonce) => this.starter.isReleased(nonce)
     })
-    this.outage = new OutageLookup({
+    this.outageLookup = new OutageLookup({
       ...options,
       memoryMs: options.answerWindowMs,
-      freshMs: options.staleAfterMs * FRESH_SHARE,
+      freshMs: options.staleAfterMs * FRESH_READ_SHARE,
       isMemoryWhole: () => options.owned.isMemoryWhole
     })
   }
@@ -99,15 +99,15 @@
     const until = this.options.clock.now() + waitMs
     await this.claiming.get(key)
     const hash = bodyHash(spec)
-    const local = await this.fromMemory(key, hash, until)
+    const local = await this.replyFromMemory(key, hash, until)
     if (local !== undefined) return local
     const deadlineMs = spec.deadlineMs || this.options.defaultDeadlineMs
-    const admitted = this.admit(config, spec, deadlineMs)
-    if (admitted.type === 'refused') return this.refuseUnlessKnown(workspace, spec, hash, until, admitted)
+    const admitted = this.checkAdmission(config, spec, deadlineMs)
+    if (admitted.type === 'refused') return this.refuseUnlessClaimed(workspace, spec, hash, until, admitted)
     const job: AdmittedJob = { workspace, spec, hash, decision: admitted.decision, deadlineMs }
     const outcome = await this.whileClaiming(key, this.claim(job))
-    if (outcome.type === 'refused') return this.refuseUnlessKnown(workspace, spec, hash, until, outcome)
-    if (outcome.type === 'local') return this.waitLocal(key, hash, until)
+    if (outcome.type === 'refused') return this.refuseUnlessClaimed(workspace, spec, hash, until, outcome)
+    if (outcome.type === 'local') return this.waitForOwnJob(key, hash, until)
     return this.attach(outcome.claim, hash, until, job)
   }
 
@@ -116,7 +116,7 @@
     const key = submissionKey(workspace, id)
     const until = this.options.clock.now() + waitMs
     await this.claiming.get(key)
-    const local = await this.fromMemory(key, undefined, until)
+    const local = await this.replyFromMemory(key, undefined, until)
     if (local !== undefined) return local
     const claim = await this.options.claims.read(workspace, id)
     if (!claim.ok) return this.askDuringOutage(workspace, id, until)
@@ -130,7 +130,7 @@
     await this.claiming.get(key)
     this.options.owned.failByKey(key, REASONS.cancelled, 'cancelled')
     const until = this.options.clock.now() + this.options.claimTimeoutMs
-    const local = await this.fromMemory(key, undefined, until)
+    const local = await this.replyFromMemory(key, undefined, until)
     if (local !== undefined) return local
     const claim = await this.options.claims.read(workspace, id)
     if (!claim.ok) return refuse(REASONS.storeDown, claim.err.message, RUN_STATES.mayHaveRun, STORE_RETRY_MS)
@@ -139,7 +139,7 @@
     return this.attach(claim.value, undefined, until)
   }
 
-  private admit (config: WorkspaceConfig, spec: JobSpec, deadlineMs: number): ReturnType<Admission['check']> {
+  private checkAdmission (config: WorkspaceConfig, spec: JobSpec, deadlineMs: number): ReturnType<Admission['check']> {
     if (this.stopping) return refuse(REASONS.stopping, 'this entry is stopping', RUN_STATES.notRun, STORE_RETRY_MS)
     if (!this.options.mayClaim()) return refuse(REASONS.notReady, 'this entry is not known to the others yet', RUN_STATES.notRun, STORE_RETRY_MS)
     if (!this.options.isStoreUp()) return refuse(REASONS.storeDown, 'the table service does not answer', RUN_STATES.notRun, STORE_RETRY_MS)
@@ -165,27 +165,27 @@
   }
 
   /** The reply that this entry's memory gives, if it knows the job. */
-  private async fromMemory (key: string, hash: Uint8Array | undefined, until: number): Promise<JobReply | undefined> {
+  private async replyFromMemory (key: string, hash: Uint8Array | undefined, until: number): Promise<JobReply | undefined> {
     const known = this.options.owned.claimOf(key)?.record ?? this.options.owned.answerOf(key)
-    return known === undefined ? undefined : this.waitLocal(key, hash, until)
+    return known === undefined ? undefined : this.waitForOwnJob(key, hash, until)
   }
 
-  private async waitLocal (key: string, hash: Uint8Array | undefined, until: number): Promise<JobReply> {
+  private async waitForOwnJob (key: string, hash: Uint8Array | undefined, until: number): Promise<JobReply> {
     const { owned, clock } = this.options
-    const bodyOf = owned.claimOf(key)?.record.bodyHash ?? owned.answerOf(key)?.bodyHash
-    if (hash !== undefined && bodyOf !== undefined && !isSameBody(bodyOf, hash)) return refuseConflict()
+    const knownHash = owned.claimOf(key)?.record.bodyHash ?? owned.answerOf(key)?.bodyHash
+    if (hash !== undefined && knownHash !== undefined && !isSameBody(knownHash, hash)) return refuseConflict()
     const remembered = owned.answerOf(key)
     if (remembered !== undefined) return { type: 'answer', answer: remembered.answer }
-    const news = await owned.wait(key, Math.max(0, until - clock.now()))
-    switch (news.type) {
-      case 'answer': return news
-      case 'pending': return news
+    const update = await owned.wait(key, Math.max(0, until - clock.now()))
+    switch (update.type) {
+      case 'answer': return update
+      case 'pending': return update
       case 'unsaved': return unsavedReply
-      case 'moved': return this.followMoved(key, until)
+      case 'moved': return this.followNewOwner(key, until)
     }
   }
 
-  private async followMoved (key: string, until: number): Promise<JobReply> {
+  private async followNewOwner (key: string, until: number): Promise<JobReply> {
     const [workspace, id] = key.split('/') as [string, string]
     const claim = await this.options.claims.read(workspace, id)
     if (!claim.ok) return refuse(REASONS.storeDown, claim.err.message, RUN_STATES.mayHaveRun, STORE_RETRY_MS)
@@ -194,51 +194,51 @@
   }
 
   /** Follows a claim; takes it over where its owner is lost, or has released it. */
-  private async attach (claim: Claim, hash: Uint8Array | undefined, until: number, fresh?: AdmittedJob): Promise<JobReply> {
-    const step = await this.attachment.follow(claim, hash, until)
+  private async attach (claim: Claim, hash: Uint8Array | undefined, until: number, admitted?: AdmittedJob): Promise<JobReply> {
+    const step = await this.claimFollower.follow(claim, hash, until)
     const key = submissionKey(claim.record.workspace, claim.record.submission)
     switch (step.type) {
       case 'reply': return step.reply
-      case 'local': return this.waitLocal(key, hash, until)
+      case 'local': return this.waitForOwnJob(key, hash, until)
       case 'absent': return refuse(REASONS.notFound, 'the job has expired', RUN_STATES.mayHaveRun)
       case 'lost': return this.takeOver(step.claim, hash, until, undefined)
-      case 'released': return fresh === undefined
+      case 'released': return admitted === undefined
         ? refuse(REASONS.storeDown, 'the submission was refused and not run; submit it again', RUN_STATES.notRun)
-        : this.takeOver(step.claim, hash, until, fresh)
+        : this.takeOver(step.claim, hash, until, admitted)
     }
   }
 
-  private async takeOver (claim: Claim, hash: Uint8Array | undefined, until: number, fresh: AdmittedJob | undefined): Promise<JobReply> {
+  private async takeOver (claim: Claim, hash: Uint8Array | undefined, until: number, admitted: AdmittedJob | undefined): Promise<JobReply> {
     const { workspace, submission } = claim.record
     const key = submissionKey(workspace, submission)
     // Another request here may have begun the same takeover.
-    const running = this.claiming.get(key)
-    if (running !== undefined) {
-      await running
-      return this.waitLocal(key, hash, until)
+    const inProgress = this.claiming.get(key)
+    if (inProgress !== undefined) {
+      await inProgress
+      return this.waitForOwnJob(key, hash, until)
     }
-    const begun = fresh === undefined ? this.starter.collect(claim) : this.starter.runReleased(claim, fresh)
+    const begun = admitted === undefined ? this.starter.collect(claim) : this.starter.runReleased(claim, admitted)
     const outcome = await this.whileClaiming(key, begun)
     if (outcome.type === 'refused') return outcome
-    if (outcome.type === 'local') return this.waitLocal(key, hash, until)
-    return this.attach(outcome.claim, hash, until, fresh)
+    if (outcome.type === 'local') return this.waitForOwnJob(key, hash, until)
+    return this.attach(outcome.claim, hash, until, admitted)
   }
 
   /** A refusal may say "not run" only of a submission that nobody has claimed. */
-  private async refuseUnlessKnown (workspace: string, { id, firstAttempt }: JobSpec, hash: Uint8Array, until: number, refusal: Refusal): Promise<JobReply> {
+  private async refuseUnlessClaimed (workspace: string, { id, firstAttempt }: JobSpec, hash: Uint8Array, until: number, refusal: Refusal): Promise<JobReply> {
     const claim = this.options.isStoreUp() ? await this.options.claims.read(workspace, id) : undefined
     if (claim?.ok === true && claim.value !== undefined && !this.starter.isReleased(claim.value.record.nonce)) {
       return this.attach(claim.value, hash, until)
     }
     if (claim?.ok === true || firstAttempt) return refusal
     const waitMs = Math.max(0, until - this.options.clock.now())
-    const finding = await this.outage.find(workspace, id, hash, waitMs)
+    const finding = await this.outageLookup.find(workspace, id, hash, waitMs)
     return finding.type === 'reply' ? finding.reply : { ...refusal, run: finding.run }
   }
 
   private async askDuringOutage (workspace: string, id: string, until: number): Promise<JobReply> {
     const waitMs = Math.max(0, until - this.options.clock.now())
-    const finding = await this.outage.find(workspace, id, undefined, waitMs)
+    const finding = await this.outageLookup.find(workspace, id, undefined, waitMs)
     if (finding.type === 'reply') return finding.reply
     return refuse(REASONS.storeDown, 'the table service does not answer', finding.run, STORE_RETRY_MS)
   }
@@ -250,7 +250,7 @@
     await this.options.peers.cancel(owner.sessionAddress, { workspace, submission, nonce, waitMs: this.options.claimTimeoutMs })
   }
 
-  private ownAnswer (claim: Claim): 'local' | 'released' | 'lost' {
+  private ownClaimState (claim: Claim): 'local' | 'released' | 'lost' {
     const { workspace, submission, nonce } = claim.record
     const key = submissionKey(workspace, submission)
     const isLocal = this.options.owned.claimOf(key) !== undefined || this.options.owned.answerOf(key) !== undefined
--- a/packages/coordination/src/jobs/jobStarter.ts
+++ b/packages/coordination/src/jobs/jobStarter.ts
@@ -71,7 +71,7 @@
       deadlineMs
     }, arrivedAt + Math.min(claimTimeoutMs, deadlineMs))
     observeClaim(outcome.type)
-    return this.beginFresh(outcome, job, arrivedAt)
+    return this.startAdmitted(outcome, job, arrivedAt)
   }
 
   /** Takes over a claim that its owner has released, and starts the job. */
@@ -79,7 +79,7 @@
     const { clock, claims, claimTimeoutMs, observeClaim } = this.options
     const outcome = await claims.takeOver(claim, clock.now() + claimTimeoutMs)
     if (outcome.type === 'owned') observeClaim('taken_over')
-    return this.beginFresh(outcome, job, clock.now())
+    return this.startAdmitted(outcome, job, clock.now())
   }
 
   /** Takes over a claim whose owner is lost, and collects what agents know. */
@@ -89,21 +89,21 @@
     if (outcome.type === 'existing') return outcome
     if (outcome.type === 'unavailable') return refuse(REASONS.storeDown, outcome.message, RUN_STATES.mayHaveRun, STORE_RETRY_MS)
     observeClaim('taken_over')
-    owned.collect(this.collectedJobOf(outcome.claim), outcome.claim)
+    owned.collect(this.createJobToCollect(outcome.claim), outcome.claim)
     return { type: 'local' }
   }
 
-  private beginFresh (outcome: ClaimOutcome, job: AdmittedJob, arrivedAt: number): BeginOutcome {
+  private startAdmitted (outcome: ClaimOutcome, job: AdmittedJob, arrivedAt: number): BeginOutcome {
     if (outcome.type === 'existing') return outcome
     if (outcome.type === 'unavailable') {
       if (!outcome.certain) this.released.add(outcome.nonce)
       return refuse(REASONS.storeDown, outcome.message, RUN_STATES.notRun, STORE_RETRY_MS)
     }
-    this.options.owned.start(this.jobOf(job, arrivedAt), outcome.claim)
+    this.options.owned.start(this.createAdmittedJob(job, arrivedAt), outcome.claim)
     return { type: 'local' }
   }
 
-  private jobOf ({ workspace, spec, decision, deadlineMs }: AdmittedJob, arrivedAt: number): Job {
+  private createAdmittedJob ({ workspace, spec, decision, deadlineMs }: AdmittedJob, arrivedAt: number): Job {
     const { id, service, unrepeatable } = spec
     return createJob({
       workspace,
@@ -119,7 +119,7 @@
     })
   }
 
-  private collectedJobOf ({ record }: Claim): Job {
+  private createJobToCollect ({ record }: Claim): Job {
     const { clock, leaseMs } = this.options
     return createCollectedJob({
       workspace: record.workspace,
--- a/packages/coordination/src/jobs/outageLookup.ts
+++ b/packages/coordination/src/jobs/outageLookup.ts
@@ -37,7 +37,7 @@
 const KNOWN_KINDS: ReadonlySet<string> = new Set([PEER_ANSWERS.final, PEER_ANSWERS.pending])
 
 /** The process that was meant has answered, and has every answer of the window. */
-const isProof = ({ incarnation, response }: PeerFinding): boolean =>
+const isReliableReply = ({ incarnation, response }: PeerFinding): boolean =>
   response?.incarnation === incarnation && response.memoryWhole
 
 /**
@@ -59,15 +59,15 @@
     // Judged before the others are asked: a later read may show an entry that was not among them.
     const isEveryEntryKnown = this.isEveryEntryKnown()
     const findings = await Promise.all(this.options.directory.others.map(async ({ sessionAddress, incarnation }) =>
-      ({ address: sessionAddress, incarnation, response: await this.ask(sessionAddress, workspace, submission, 0) })))
+      ({ address: sessionAddress, incarnation, response: await this.askPeer(sessionAddress, workspace, submission, 0) })))
     const owner = findings.find(({ response }) => KNOWN_KINDS.has(response?.kind ?? ''))
     if (owner === undefined) return { type: 'absent', run: this.runStateOf(findings, isEveryEntryKnown) }
-    const isOther = hash !== undefined && !isSameBody(owner.response!.bodyHash, hash)
-    if (isOther) return { type: 'reply', reply: refuseConflict() }
-    return { type: 'reply', reply: await this.waitAt(owner, workspace, submission, waitMs) }
+    const isConflict = hash !== undefined && !isSameBody(owner.response!.bodyHash, hash)
+    if (isConflict) return { type: 'reply', reply: refuseConflict() }
+    return { type: 'reply', reply: await this.waitAtPeer(owner, workspace, submission, waitMs) }
   }
 
-  private async ask (address: string, workspace: string, submission: string, waitMs: number): Promise<AwaitResponse | undefined> {
+  private async askPeer (address: string, workspace: string, submission: string, waitMs: number): Promise<AwaitResponse | undefined> {
     const res = await this.options.peers.await(address, { workspace, submission, nonce: '', waitMs })
     return res.ok ? res.value : undefined
   }
@@ -79,14 +79,14 @@
   }
 
   private runStateOf (findings: PeerFinding[], isEveryEntryKnown: boolean): RunState {
-    const isSure = isEveryEntryKnown && this.options.isMemoryWhole() && findings.every(isProof)
-    return isSure ? RUN_STATES.notRun : RUN_STATES.mayHaveRun
+    const isProved = isEveryEntryKnown && this.options.isMemoryWhole() && findings.every(isReliableReply)
+    return isProved ? RUN_STATES.notRun : RUN_STATES.mayHaveRun
   }
 
-  private async waitAt ({ address, response }: PeerFinding, workspace: string, submission: string, waitMs: number): Promise<JobReply> {
+  private async waitAtPeer ({ address, response }: PeerFinding, workspace: string, submission: string, waitMs: number): Promise<JobReply> {
     if (response!.answer !== undefined) return { type: 'answer', answer: response!.answer }
     if (waitMs <= 0) return { type: 'pending' }
-    const later = await this.ask(address, workspace, submission, waitMs)
+    const later = await this.askPeer(address, workspace, submission, waitMs)
     return later?.answer !== undefined ? { type: 'answer', answer: later.answer } : { type: 'pending' }
   }
 }
--- a/packages/coordination/src/jobs/ownedJobs.ts
+++ b/packages/coordination/src/jobs/ownedJobs.ts
@@ -10,7 +10,7 @@
 import { completeAnswer, failedAnswer } from './replies.js'
 
 /** News of a job for those who wait for it. */
-export type JobNews =
+export type JobUpdate =
   | { type: 'answer', answer: JobAnswer }
   /** The final state could not be saved yet, so it must not be told yet. */
   | { type: 'unsaved' }
@@ -26,13 +26,13 @@
   /** Longest wait for one attempt to save a final state, in ms. */
   saveTimeoutMs: number
   /** Told of every final answer. */
-  observe: (job: Job, answer: JobAnswer) => void
+  onAnswer: (job: Job, answer: JobAnswer) => void
 }
 
 interface OwnedJob {
   job: Job
   claim: Claim
-  waiters: Set<(news: JobNews) => void>
+  waiters: Set<(news: JobUpdate) => void>
   cancelDeadline: () => void
 }
 
@@ -94,17 +94,17 @@
   }
 
   /** Waits for news of an open job. */
-  wait (key: string, waitMs: number): Promise<JobNews> {
+  wait (key: string, waitMs: number): Promise<JobUpdate> {
     const owned = this.open.get(key)
     if (owned === undefined) return Promise.resolve({ type: 'moved' })
     return new Promise((resolve) => {
-      const settle = (news: JobNews) => {
-        owned.waiters.delete(settle)
+      const onUpdate = (update: JobUpdate) => {
+        owned.waiters.delete(onUpdate)
         cancelTimer()
-        resolve(news)
+        resolve(update)
       }
-      const cancelTimer = this.options.clock.after(waitMs, () => settle({ type: 'pending' }))
-      owned.waiters.add(settle)
+      const cancelTimer = this.options.clock.after(waitMs, () => onUpdate({ type: 'pending' }))
+      owned.waiters.add(onUpdate)
     })
   }
 
@@ -127,12 +127,12 @@
   }
 
   /** Another entry owns the claim: whoever waits must ask there. */
-  moved (job: Job): void {
+  onMoved (job: Job): void {
     const owned = this.open.get(job.key)
     if (owned === undefined || owned.job !== job) return
     this.options.dispatcher().release(job)
     this.close(owned)
-    tell(owned, { type: 'moved' })
+    notifyWaiters(owned, { type: 'moved' })
   }
 
   private adopt (job: Job, claim: Claim): void {
@@ -158,15 +158,15 @@
     this.saving--
     if (!job.unrepeatable) return
     if (isOwner) this.publish(owned, answer)
-    else this.moved(job)
+    else this.onMoved(job)
   }
 
   private publish (owned: OwnedJob, answer: JobAnswer): void {
     const { record } = owned.claim
     this.answers.add(owned.job.key, { answer, bodyHash: record.bodyHash, nonce: record.nonce })
     this.close(owned)
-    this.options.observe(owned.job, answer)
-    tell(owned, { type: 'answer', answer })
+    this.options.onAnswer(owned.job, answer)
+    notifyWaiters(owned, { type: 'answer', answer })
   }
 
   /** Writes the final state for as long as it takes; false if the claim is another entry's now. */
@@ -175,12 +175,12 @@
     while (true) {
       const outcome = await claims.finish(owned.claim, answer, clock.now() + saveTimeoutMs)
       if (outcome.type !== 'unavailable') return outcome.type === 'committed'
-      if (owned.job.unrepeatable) tell(owned, { type: 'unsaved' })
+      if (owned.job.unrepeatable) notifyWaiters(owned, { type: 'unsaved' })
       await clock.sleep(saveTimeoutMs / 2)
     }
   }
 }
 
-const tell = (owned: OwnedJob, news: JobNews): void => {
-  for (const settle of [...owned.waiters]) settle(news)
+const notifyWaiters = (owned: OwnedJob, update: JobUpdate): void => {
+  for (const onUpdate of [...owned.waiters]) onUpdate(update)
 }
--- a/packages/coordination/src/jobs/peerAnswers.ts
+++ b/packages/coordination/src/jobs/peerAnswers.ts
@@ -36,8 +36,8 @@
     const { owned, incarnation, afterClaiming } = this.options
     const key = submissionKey(query.workspace, query.submission)
     await afterClaiming(key)
-    const facts = await this.find(key, query)
-    return { ...facts, incarnation, memoryWhole: owned.isMemoryWhole }
+    const finding = await this.find(key, query)
+    return { ...finding, incarnation, memoryWhole: owned.isMemoryWhole }
   }
 
   /** Cancels a job that this entry owns. */
@@ -52,9 +52,9 @@
     const { owned, isReleased } = this.options
     const claim = owned.claimOf(key)
     if (claim !== undefined && (nonce === '' || nonce === claim.record.nonce)) {
-      const news = await owned.wait(key, waitMs)
+      const update = await owned.wait(key, waitMs)
       const { bodyHash } = claim.record
-      if (news.type === 'answer') return { kind: PEER_ANSWERS.final, answer: news.answer, bodyHash }
+      if (update.type === 'answer') return { kind: PEER_ANSWERS.final, answer: update.answer, bodyHash }
       return { kind: PEER_ANSWERS.pending, bodyHash }
     }
     const remembered = owned.answerOf(key)
--- a/packages/coordination/src/leased/configExchange.test.ts
+++ b/packages/coordination/src/leased/configExchange.test.ts
@@ -72,7 +72,7 @@
   /** Sends the requested frames. */
   flush (isLinkStalled = false): void {
     for (const [index, frame] of this.pending) {
-      this.sessions.stamp(this.agents[index]!, frame)
+      this.sessions.fillFrame(this.agents[index]!, frame)
       this.sent.push({ at: this.clock.now(), bytes: toBinary(EntryFrameSchema, frame).length, frame })
       if (frame.config.length > 0 && !isLinkStalled) this.replicaVersions[index] = frame.configVersion
     }
--- a/packages/coordination/src/leased/leasedFleet.ts
+++ b/packages/coordination/src/leased/leasedFleet.ts
@@ -96,7 +96,7 @@
     if (known !== undefined) return known
     const { clock, maxEjectedShare, ejectionBackoff } = this.options
     const { order, setAside } = this.policy
-    const health = new EndpointHealth({ now: clock.now, maxShare: maxEjectedShare, backoff: ejectionBackoff, setAside })
+    const health = new EndpointHealth({ now: clock.now, maxEjectedShare: maxEjectedShare, ejectionBackoff: ejectionBackoff, eject: setAside })
     const service = { queue: new LeasedQueue(order), load: new LoadRecord(clock.now), health, isSendScheduled: false, capacityRequestedAt: -Infinity, cachedLoad: undefined }
     this.services.set(name, service)
     return service
--- a/packages/coordination/src/leased/leasedHost.ts
+++ b/packages/coordination/src/leased/leasedHost.ts
@@ -161,7 +161,7 @@
     this.sessions.onConfig(session, frame)
   }
 
-  stamp (incarnation: string, frame: AgentFrame): void {
+  fillFrame (incarnation: string, frame: AgentFrame): void {
     this.entryLeases.check()
     frame.stampMs = this.options.clock.now()
     this.sessions.fillFrame(incarnation, frame)
--- a/packages/coordination/src/queue/fairQueue.ts
+++ b/packages/coordination/src/queue/fairQueue.ts
@@ -56,7 +56,7 @@
   }
 
   /** Puts a task of the job back, as its start is proved not to have happened. */
-  putBack (job: Job, task: number): void {
+  requeue (job: Job, task: number): void {
     this.remove(job)
     job.queue.push(task)
     this.add(job)
@@ -89,7 +89,7 @@
   }
 
   /** Tasks of one workspace that wait here. */
-  queuedOf (workspace: string): number {
+  queuedTasks (workspace: string): number {
     const jobs = this.workspaces.get(workspace)?.jobs ?? []
     return jobs.reduce((sum, { queue }) => sum + queue.length, 0)
   }
@@ -98,7 +98,7 @@
   get runnable (): number {
     let count = 0
     for (const [name, { jobs }] of this.workspaces) {
-      if (jobs.length > 0 && this.options.mayRun(name)) count += this.queuedOf(name)
+      if (jobs.length > 0 && this.options.mayRun(name)) count += this.queuedTasks(name)
     }
     return count
   }
--- a/packages/coordination/src/session/types.ts
+++ b/packages/coordination/src/session/types.ts
@@ -11,7 +11,7 @@
   /** Handles what an entry sent on an open session. */
   onFrame: (incarnation: string, add: AddToFrame, frame: EntryFrame) => void
   /** Fills in what every frame carries. */
-  stamp: (incarnation: string, frame: AgentFrame) => void
+  fillFrame: (incarnation: string, frame: AgentFrame) => void
   /** True while tasks of the entry are here; unset where every session counts as busy. */
   isBusyWith?: (incarnation: string) => boolean
   /** The session will be ended: the entry must send no start on it any more. */
@@ -34,7 +34,7 @@
   onFrame: (agent: Agent, link: AgentLink, frame: AgentFrame) => void
   closed: (agent: Agent, link: AgentLink) => void
   /** Fills in what every frame carries. */
-  stamp?: (agent: Agent, frame: EntryFrame) => void
+  fillFrame?: (agent: Agent, frame: EntryFrame) => void
   /** True while orders to the agent are out; unset where every session counts as busy. */
   isBusyWith?: (agent: Agent) => boolean
 }
--- a/packages/coordination/src/slots/slotGranter.ts
+++ b/packages/coordination/src/slots/slotGranter.ts
@@ -1,5 +1,5 @@
 /** Credits that an agent hands to one entry. */
-export interface GrantChange {
+export interface CreditGrant {
   entry: string
   credits: number
 }
@@ -13,7 +13,7 @@
 }
 
 /** By how many credits the entry that hears from the agent anyway may be ahead of the others. */
-const HEARING_BONUS = 3
+const RECIPIENT_BONUS = 3
 
 /**
  * Divides an agent's slots between entries as credits, of two kinds. Standing
@@ -30,12 +30,12 @@
   private readonly shares = new Map<string, EntryShare>()
 
   /**
-   * @param standing - credits that each entry keeps
+   * @param standingCredits - credits that each entry keeps
    */
-  constructor (private readonly standing: number) {}
+  constructor (private readonly standingCredits: number) {}
 
   /** Slots that an entry may count on: not busy, and not reserved for another entry. */
-  freeFor (entry: string): number {
+  freeSlotsFor (entry: string): number {
     const own = this.shares.get(entry)
     return Math.max(0, this.unreserved + (own === undefined ? 0 : this.reservedBy(own)))
   }
@@ -95,7 +95,7 @@
   }
 
   /** The entry gave credits back unused. */
-  returned (entry: string, credits: number): void {
+  returnCredits (entry: string, credits: number): void {
     const share = this.shares.get(entry)
     if (share !== undefined) share.granted = Math.max(0, share.granted - credits)
   }
@@ -104,17 +104,17 @@
    * Renews standing credits and meets demand from free slots, least served
    * first.
    *
-   * @param renews - true for entries that hear from this agent anyway: a
+   * @param mayRenew - true for entries that hear from this agent anyway: a
    *   renewal costs no message of its own
-   * @param hears - the entry that a result goes to now; between entries served
+   * @param recipient - the entry that a result goes to now; between entries served
    *   about alike it is preferred, as its credit travels with the result
    */
-  plan (renews: (entry: string) => boolean, hears?: string): GrantChange[] {
+  plan (mayRenew: (entry: string) => boolean, recipient?: string): CreditGrant[] {
     const grants = new Map<string, number>()
     const add = (entry: string, credits: number) => grants.set(entry, (grants.get(entry) ?? 0) + credits)
-    if (this.slots > 0) this.renew(renews, add)
+    if (this.slots > 0) this.renew(mayRenew, add)
     for (let free = this.unreserved; free > 0; free--) {
-      const entry = this.leastServed(hears)
+      const entry = this.leastServed(recipient)
       if (entry === undefined) break
       const share = this.shares.get(entry)!
       share.granted++
@@ -132,24 +132,24 @@
   }
 
   private reservedBy ({ granted }: EntryShare): number {
-    return Math.max(0, granted - this.standing)
+    return Math.max(0, granted - this.standingCredits)
   }
 
-  private renew (renews: (entry: string) => boolean, add: (entry: string, credits: number) => void): void {
+  private renew (mayRenew: (entry: string) => boolean, add: (entry: string, credits: number) => void): void {
     for (const [entry, share] of this.shares) {
-      const missing = this.standing - share.granted
-      if (missing <= 0 || !renews(entry)) continue
+      const missing = this.standingCredits - share.granted
+      if (missing <= 0 || !mayRenew(entry)) continue
       share.granted += missing
       share.demand = Math.max(0, share.demand - missing)
       add(entry, missing)
     }
   }
 
-  private leastServed (hears: string | undefined): string | undefined {
+  private leastServed (recipient: string | undefined): string | undefined {
     let best: string | undefined
     let bestUse = Infinity
     for (const [entry, { granted, busy, demand }] of this.shares) {
-      const use = granted + busy - (entry === hears ? HEARING_BONUS : 0)
+      const use = granted + busy - (entry === recipient ? RECIPIENT_BONUS : 0)
       if (demand === 0 || use >= bestUse) continue
       best = entry
       bestUse = use
--- a/packages/coordination/src/tasks/endsElsewhere.ts
+++ b/packages/coordination/src/tasks/endsElsewhereCounter.ts
@@ -1,18 +1,18 @@
 import { create } from '@bufbuild/protobuf'
 import { EndsElsewhereSchema } from '@hazellift/protocol'
 import type { EndsElsewhere, TaskResult } from '@hazellift/protocol'
-import { VERDICTS, judgeResult } from '../health/judgeResult.js'
+import { ENDPOINT_VERDICTS, judgeResult } from '../health/judgeResult.js'
 
 /** What one entry is still to be told of the starts of the others. */
-export class EndsTally {
+export class EndsElsewhereCounter {
   private ends: EndsElsewhere | undefined
 
   /** Counts a result that went to another entry. */
   count (result: TaskResult): void {
     const verdict = judgeResult(result)
-    if (verdict === VERDICTS.none) return
+    if (verdict === ENDPOINT_VERDICTS.none) return
     this.ends ??= create(EndsElsewhereSchema)
-    if (verdict === VERDICTS.failed) {
+    if (verdict === ENDPOINT_VERDICTS.failed) {
       this.ends.failed++
       return
     }
--- a/packages/coordination/src/tasks/taskHost.ts
+++ b/packages/coordination/src/tasks/taskHost.ts
@@ -6,11 +6,11 @@
 import { isRetryOf, rememberedResult } from './rememberedResult.js'
 import type { AttemptEnd, TaskHostOptions } from './taskHostOptions.js'
 import { TaskLedger } from './taskLedger.js'
-import type { TaskEntry } from './taskLedger.js'
+import type { TaskRecord } from './taskLedger.js'
 import { TaskSessions } from './taskSessions.js'
 
 interface WaitingStart {
-  entry: TaskEntry
+  entry: TaskRecord
   start: Start
   owner: string
 }
@@ -25,7 +25,7 @@
   private readonly ledger: TaskLedger
   private readonly granter: SlotGranter
   private readonly sessions: TaskSessions
-  private readonly waiting: WaitingStart[] = []
+  private readonly waitingStarts: WaitingStart[] = []
   private endpoint = NO_ENDPOINT
   private running = 0
   private leaving = false
@@ -39,11 +39,11 @@
 
   /** Tasks that run or wait here. */
   get busy (): number {
-    return this.running + this.waiting.length
+    return this.running + this.waitingStarts.length
   }
 
   /** True once every entry with a session knows that this agent is leaving. */
-  get isLeft (): boolean {
+  get isLeavingKnown (): boolean {
     return this.sessions.haveAllSeenLeaving
   }
 
@@ -60,15 +60,15 @@
     this.sessions.begin(incarnation, add)
     this.granter.addEntry(incarnation)
     const unacked = this.sessions.unackedOf(incarnation)
-    const started = this.ledger.heldFor(incarnation)
+    const started = this.ledger.startsOf(incarnation)
     const held = [...started.filter(({ result }) => result === undefined), ...unacked].map(({ key }) => key!)
     add((frame) => {
       frame.resume = create(ResumeSchema, { held })
       frame.endpoint = this.endpoint
       frame.leaving = this.leaving
     })
-    for (const result of unacked) this.sessions.tell(incarnation, result)
-    for (const entry of started) if (entry.recipient !== incarnation) this.tellTakenOver(incarnation, entry.key)
+    for (const result of unacked) this.sessions.report(incarnation, result)
+    for (const entry of started) if (entry.recipient !== incarnation) this.reportTakenOver(incarnation, entry.key)
     this.grant((entry) => entry === incarnation)
   }
 
@@ -85,7 +85,7 @@
     // A frame of a closed session may hold starts that its entry has sent elsewhere since.
     if (!this.sessions.isLatest(incarnation, add)) return
     this.sessions.onFrame(incarnation, frame)
-    if (frame.returnedCredits > 0) this.granter.returned(incarnation, frame.returnedCredits)
+    if (frame.returnedCredits > 0) this.granter.returnCredits(incarnation, frame.returnedCredits)
     for (const start of frame.starts) this.onStart(incarnation, start)
     for (const { workspace, submission, tasks } of frame.revokes) this.onRevoke(incarnation, workspace, submission, tasks)
     for (const collect of frame.collects) this.onCollect(incarnation, collect)
@@ -118,7 +118,7 @@
 
   /** Aborts what still runs, for a stop whose grace time is over. */
   abortAll (): TaskKey[] {
-    const running = this.ledger.entries().filter(({ abort }) => abort !== undefined)
+    const running = this.ledger.records().filter(({ abort }) => abort !== undefined)
     for (const { abort } of running) abort?.(REASONS.stopCut)
     return running.map(({ key }) => key)
   }
@@ -135,9 +135,9 @@
   }
 
   /** Fills in what every frame carries. */
-  stamp (incarnation: string, frame: AgentFrame): void {
+  fillFrame (incarnation: string, frame: AgentFrame): void {
     frame.stampMs = this.options.clock.now()
-    frame.free = this.granter.freeFor(incarnation)
+    frame.free = this.granter.freeSlotsFor(incarnation)
     const ends = this.sessions.takeEndsElsewhere(incarnation)
     if (ends !== undefined) frame.endsElsewhere = ends
   }
@@ -153,12 +153,12 @@
       return this.refuseStart(incarnation, key, refusal)
     }
     if (!this.granter.accept(incarnation)) {
-      if (this.waiting.length >= this.options.overflowQueue) return this.refuseStart(incarnation, key, REASONS.noSlot)
+      if (this.waitingStarts.length >= this.options.overflowQueue) return this.refuseStart(incarnation, key, REASONS.noSlot)
       this.granter.acceptOverflow(incarnation)
     }
-    const entry: TaskEntry = { key, origin: incarnation, recipient: incarnation }
+    const entry: TaskRecord = { key, origin: incarnation, recipient: incarnation }
     this.ledger.add(entry)
-    this.waiting.push({ entry, start, owner: incarnation })
+    this.waitingStarts.push({ entry, start, owner: incarnation })
     this.runWaiting()
   }
 
@@ -171,8 +171,8 @@
     return undefined
   }
 
-  private onDuplicate (incarnation: string, known: TaskEntry): void {
-    if (known.recipient !== incarnation) return this.tellTakenOver(incarnation, known.key)
+  private onDuplicate (incarnation: string, known: TaskRecord): void {
+    if (known.recipient !== incarnation) return this.reportTakenOver(incarnation, known.key)
     const result = rememberedResult(known)
     if (result !== undefined) this.sessions.deliver(incarnation, result)
   }
@@ -181,7 +181,7 @@
     this.sessions.deliver(incarnation, create(TaskResultSchema, { key, outcome: TASK_OUTCOMES.notStarted, reason }))
   }
 
-  private tellTakenOver (incarnation: string, key: TaskKey): void {
+  private reportTakenOver (incarnation: string, key: TaskKey): void {
     this.sessions.deliver(incarnation, create(TaskResultSchema, {
       key, outcome: TASK_OUTCOMES.failed, reason: REASONS.takenOver
     }))
@@ -189,15 +189,15 @@
 
   private runWaiting (): void {
     // Never more than the slots run at once; what standing credits brought beyond that waits.
-    while (this.waiting.length > 0 && this.running < this.endpoint.slots) void this.run(this.waiting.shift()!)
+    while (this.waitingStarts.length > 0 && this.running < this.endpoint.slots) void this.run(this.waitingStarts.shift()!)
   }
 
   private async run ({ entry, start, owner }: WaitingStart): Promise<void> {
     const { clock, runAttempt } = this.options
     const controller = new AbortController()
-    let cutBy: string | undefined
+    let abortReason: string | undefined
     entry.abort = (reason) => {
-      cutBy ??= reason
+      abortReason ??= reason
       controller.abort()
     }
     const cancelLease = clock.after(start.leaseMs, () => entry.abort?.(REASONS.leaseExpired))
@@ -206,15 +206,15 @@
     const end = await runAttempt(start, this.endpoint, controller.signal)
     cancelLease()
     this.running--
-    const isCut = cutBy !== undefined && end.outcome === TASK_OUTCOMES.failed
+    const isAborted = abortReason !== undefined && end.outcome === TASK_OUTCOMES.failed
     const runMs = Math.round(clock.now() - startedAt)
-    this.end(entry, owner, { ...end, reason: isCut ? cutBy as Reason : end.reason }, runMs)
+    this.end(entry, owner, { ...end, reason: isAborted ? abortReason as Reason : end.reason }, runMs)
   }
 
-  private end (entry: TaskEntry, owner: string, end: AttemptEnd, runMs: number): void {
+  private end (entry: TaskRecord, owner: string, end: AttemptEnd, runMs: number): void {
     const result = create(TaskResultSchema, { key: entry.key, ...end, runMs })
     this.granter.release(owner)
-    this.options.observe?.(result)
+    this.options.onResult?.(result)
     // A start that did not happen must not stand in the way of one that the entry may send again.
     if (end.outcome === TASK_OUTCOMES.notStarted) this.ledger.remove(entry.key)
     else this.ledger.finish(entry, result)
@@ -234,10 +234,10 @@
   }
 
   private onCollect (incarnation: string, { workspace, submission, keepMs }: Collect): void {
-    const before = this.ledger.revoke(workspace, submission, [])
-    this.refuseWaitingOf(new Set(before))
+    const startedBefore = this.ledger.revoke(workspace, submission, [])
+    this.refuseWaitingOf(new Set(startedBefore))
     const started = this.ledger.collect(workspace, submission, incarnation, keepMs)
-    for (const { origin, key } of started) if (origin !== incarnation) this.tellTakenOver(origin, key)
+    for (const { origin, key } of started) if (origin !== incarnation) this.reportTakenOver(origin, key)
     for (const result of started.map(rememberedResult)) if (result !== undefined) this.sessions.deliver(incarnation, result)
     const running = started.filter(({ result }) => result === undefined).map(({ key }) => key)
     this.sessions.add(incarnation, (frame) => {
@@ -246,13 +246,13 @@
   }
 
   private refuseWaiting (): void {
-    this.refuseWaitingOf(new Set(this.waiting.map(({ entry }) => entry)), REASONS.endpointGone)
+    this.refuseWaitingOf(new Set(this.waitingStarts.map(({ entry }) => entry)), REASONS.endpointGone)
   }
 
-  private refuseWaitingOf (entries: Set<TaskEntry>, reason: Reason = REASONS.revoked): void {
-    const refused = this.waiting.filter(({ entry }) => entries.has(entry))
+  private refuseWaitingOf (entries: Set<TaskRecord>, reason: Reason = REASONS.revoked): void {
+    const refused = this.waitingStarts.filter(({ entry }) => entries.has(entry))
     for (const waiting of refused) {
-      this.waiting.splice(this.waiting.indexOf(waiting), 1)
+      this.waitingStarts.splice(this.waitingStarts.indexOf(waiting), 1)
       this.end(waiting.entry, waiting.owner, { outcome: TASK_OUTCOMES.notStarted, reason, body: '' }, 0)
     }
   }
--- a/packages/coordination/src/tasks/taskHostOptions.ts
+++ b/packages/coordination/src/tasks/taskHostOptions.ts
@@ -26,5 +26,5 @@
   /** Answers of ended tasks that are kept in case a claim is taken over, in characters. */
   maxAnswerSize?: number
   /** Told of every ended start. */
-  observe?: (result: TaskResult) => void
+  onResult?: (result: TaskResult) => void
 }
--- a/packages/coordination/src/tasks/taskLedger.test.ts
+++ b/packages/coordination/src/tasks/taskLedger.test.ts
@@ -3,7 +3,7 @@
 import type { TaskKey } from '@hazellift/protocol'
 import { expect, test } from 'vitest'
 import { TaskLedger } from './taskLedger.js'
-import type { TaskEntry } from './taskLedger.js'
+import type { TaskRecord } from './taskLedger.js'
 
 const MEMORY_MS = 1000
 const KEY = { workspace: 'w', submission: 's', task: 0, attempt: 0 } as TaskKey
@@ -39,7 +39,7 @@
 ])('of answers in room for 10 characters: $name', ({ sizes, kept }) => {
   const ledger = new TaskLedger(MEMORY_MS, () => 0, 10)
   const entries = sizes.map((size, task) => {
-    const entry: TaskEntry = { key: { ...KEY, task }, origin: 'a', recipient: 'a' }
+    const entry: TaskRecord = { key: { ...KEY, task }, origin: 'a', recipient: 'a' }
     ledger.add(entry)
     ledger.finish(entry, create(TaskResultSchema, { outcome: TASK_OUTCOMES.done, body: 'x'.repeat(size) }))
     return entry
--- a/packages/coordination/src/tasks/taskLedger.ts
+++ b/packages/coordination/src/tasks/taskLedger.ts
@@ -3,7 +3,7 @@
 import { submissionKey } from './keys.js'
 
 /** What an agent remembers of one start. */
-export interface TaskEntry {
+export interface TaskRecord {
   key: TaskKey
   /** Incarnation of the entry that sent the start. */
   origin: string
@@ -17,18 +17,18 @@
   abort?: (reason: string) => void
 }
 
-interface SubmissionEntry {
+interface SubmissionRecord {
   workspace: string
   submission: string
-  tasks: Map<number, TaskEntry>
+  tasks: Map<number, TaskRecord>
   /** Tasks that must never start, or all of them. */
   revokedTasks: Set<number>
-  revoked: boolean
+  areAllRevoked: boolean
   /** Who took the claim over, if anybody did. */
   collector: string | undefined
   touchedAt: number
   /** Kept at least until then. */
-  keepUntil: number
+  rememberUntil: number
 }
 
 /**
@@ -41,7 +41,7 @@
  * owner may send fresh starts until then.
  */
 export class TaskLedger {
-  private readonly submissions = new Map<string, SubmissionEntry>()
+  private readonly submissions = new Map<string, SubmissionRecord>()
 
   private readonly answers: AnswerBudget
 
@@ -55,14 +55,14 @@
   }
 
   /** The entry of a task that was started, if it is remembered. */
-  find ({ workspace, submission, task }: TaskKey): TaskEntry | undefined {
+  find ({ workspace, submission, task }: TaskKey): TaskRecord | undefined {
     return this.submissions.get(submissionKey(workspace, submission))?.tasks.get(task)
   }
 
   /** True if the task must not start. */
   isRevoked ({ workspace, submission, task }: TaskKey): boolean {
     const entry = this.submissions.get(submissionKey(workspace, submission))
-    return entry !== undefined && (entry.revoked || entry.revokedTasks.has(task))
+    return entry !== undefined && (entry.areAllRevoked || entry.revokedTasks.has(task))
   }
 
   /** Who took the submission over, if anybody did. */
@@ -71,10 +71,10 @@
   }
 
   /** Remembers a start. The caller has checked `find` and `isRevoked`. */
-  add (entry: TaskEntry): void {
+  add (entry: TaskRecord): void {
     const { tasks } = this.touch(entry.key.workspace, entry.key.submission)
-    const before = tasks.get(entry.key.task)
-    if (before !== undefined) this.answers.remove(before)
+    const replaced = tasks.get(entry.key.task)
+    if (replaced !== undefined) this.answers.remove(replaced)
     tasks.set(entry.key.task, entry)
   }
 
@@ -84,7 +84,7 @@
   }
 
   /** Remembers the end of a start. */
-  finish (entry: TaskEntry, result: TaskResult): void {
+  finish (entry: TaskRecord, result: TaskResult): void {
     entry.result = result
     delete entry.abort
     this.answers.add(entry)
@@ -97,9 +97,9 @@
    * @param tasks - the tasks, or none for the whole submission
    * @returns those of them that were started before
    */
-  revoke (workspace: string, submission: string, tasks: number[]): TaskEntry[] {
+  revoke (workspace: string, submission: string, tasks: number[]): TaskRecord[] {
     const entry = this.touch(workspace, submission)
-    if (tasks.length === 0) entry.revoked = true
+    if (tasks.length === 0) entry.areAllRevoked = true
     for (const task of tasks) entry.revokedTasks.add(task)
     const started = [...entry.tasks.values()]
     return tasks.length === 0 ? started : started.filter(({ key }) => tasks.includes(key.task))
@@ -111,22 +111,22 @@
    * @param keepMs - how long the submission must be remembered at least
    * @returns everything that was started before
    */
-  collect (workspace: string, submission: string, collector: string, keepMs: number): TaskEntry[] {
+  collect (workspace: string, submission: string, collector: string, keepMs: number): TaskRecord[] {
     const started = this.revoke(workspace, submission, [])
     const entry = this.touch(workspace, submission)
     entry.collector = collector
-    entry.keepUntil = Math.max(entry.keepUntil, this.now() + keepMs)
+    entry.rememberUntil = Math.max(entry.rememberUntil, this.now() + keepMs)
     for (const entry of started) entry.recipient = collector
     return started
   }
 
   /** Every remembered start that an incarnation of an entry sent or took over. */
-  heldFor (incarnation: string): TaskEntry[] {
-    return this.entries().filter(({ origin, recipient }) => origin === incarnation || recipient === incarnation)
+  startsOf (incarnation: string): TaskRecord[] {
+    return this.records().filter(({ origin, recipient }) => origin === incarnation || recipient === incarnation)
   }
 
   /** Every remembered start. */
-  entries (): TaskEntry[] {
+  records (): TaskRecord[] {
     return [...this.submissions.values()].flatMap(({ tasks }) => [...tasks.values()])
   }
 
@@ -134,9 +134,9 @@
   sweep (): void {
     const oldest = this.now() - this.memoryMs
     for (const [key, entry] of this.submissions) {
-      const isOver = [...entry.tasks.values()].every(({ result }) => result !== undefined)
-      const isKept = entry.touchedAt >= oldest || entry.keepUntil > this.now()
-      if (!isOver || isKept) continue
+      const hasEnded = [...entry.tasks.values()].every(({ result }) => result !== undefined)
+      const isRecent = entry.touchedAt >= oldest || entry.rememberUntil > this.now()
+      if (!hasEnded || isRecent) continue
       this.submissions.delete(key)
       for (const task of entry.tasks.values()) this.answers.remove(task)
     }
@@ -147,17 +147,17 @@
     return this.submissions.size
   }
 
-  private touch (workspace: string, submission: string): SubmissionEntry {
+  private touch (workspace: string, submission: string): SubmissionRecord {
     const key = submissionKey(workspace, submission)
     const entry = this.submissions.get(key) ?? {
       workspace,
       submission,
       tasks: new Map(),
       revokedTasks: new Set(),
-      revoked: false,
+      areAllRevoked: false,
       collector: undefined,
       touchedAt: 0,
-      keepUntil: 0
+      rememberUntil: 0
     }
     entry.touchedAt = this.now()
     this.submissions.set(key, entry)
--- a/packages/coordination/src/tasks/taskSessions.ts
+++ b/packages/coordination/src/tasks/taskSessions.ts
@@ -1,26 +1,26 @@
 import type { Clock } from '@hazellift/common'
 import type { AgentFrame, EndsElsewhere, EntryFrame, TaskResult } from '@hazellift/protocol'
-import { VERDICTS, judgeResult } from '../health/judgeResult.js'
+import { ENDPOINT_VERDICTS, judgeResult } from '../health/judgeResult.js'
 import type { AddToFrame } from '../session/types.js'
-import { EndsTally } from './endsElsewhere.js'
+import { EndsElsewhereCounter } from './endsElsewhereCounter.js'
 import { Mailboxes } from './mailboxes.js'
 
 interface HostSession {
   add: AddToFrame
-  elsewhere: EndsTally
+  endsElsewhere: EndsElsewhereCounter
   /** The entry knows that this agent is leaving, so no start follows. */
   sawLeaving: boolean
 }
 
 /** Least time between frames that only tell of a failure. */
-const FAILURE_PACE_MS = 20
+const FAILURE_REPORT_INTERVAL_MS = 20
 
 /** An agent's sessions with entries, and the results that they carry until entries acknowledge them. */
 export class TaskSessions {
   /** By the entry's incarnation. */
   private readonly sessions = new Map<string, HostSession>()
   private readonly mailboxes: Mailboxes
-  private failureToldAt = -Infinity
+  private failureReportedAt = -Infinity
 
   constructor (private readonly clock: Pick<Clock, 'now'>) {
     this.mailboxes = new Mailboxes(clock.now)
@@ -41,7 +41,7 @@
   }
 
   begin (incarnation: string, add: AddToFrame): void {
-    this.sessions.set(incarnation, { add, elsewhere: new EndsTally(), sawLeaving: false })
+    this.sessions.set(incarnation, { add, endsElsewhere: new EndsElsewhereCounter(), sawLeaving: false })
   }
 
   end (incarnation: string): void {
@@ -72,19 +72,19 @@
   /** Tells an entry of an end, and again in its next sessions until it acknowledges it. */
   deliver (incarnation: string, result: TaskResult): void {
     this.mailboxes.put(incarnation, result)
-    this.tell(incarnation, result)
+    this.report(incarnation, result)
   }
 
   /** Tells an entry of an end in this session. */
-  tell (incarnation: string, result: TaskResult): void {
+  report (incarnation: string, result: TaskResult): void {
     this.add(incarnation, (frame) => { frame.results.push(result) })
   }
 
   /** Counts an end for the entries that it does not go to; a failure is told at once, but not too often. */
   countForOthers (recipient: string, result: TaskResult): void {
-    const isUrgent = judgeResult(result) === VERDICTS.failed && this.clock.now() - this.failureToldAt >= FAILURE_PACE_MS
-    if (isUrgent) this.failureToldAt = this.clock.now()
-    for (const [incarnation, { add, elsewhere }] of this.sessions) {
+    const isUrgent = judgeResult(result) === ENDPOINT_VERDICTS.failed && this.clock.now() - this.failureReportedAt >= FAILURE_REPORT_INTERVAL_MS
+    if (isUrgent) this.failureReportedAt = this.clock.now()
+    for (const [incarnation, { add, endsElsewhere: elsewhere }] of this.sessions) {
       if (incarnation === recipient) continue
       elsewhere.count(result)
       if (isUrgent) add(() => {})
@@ -93,7 +93,7 @@
 
   /** What was counted for an entry since it was told last. */
   takeEndsElsewhere (incarnation: string): EndsElsewhere | undefined {
-    return this.sessions.get(incarnation)?.elsewhere.take()
+    return this.sessions.get(incarnation)?.endsElsewhere.take()
   }
 
   /** Forgets results that entries without a session have not fetched for so long. */
--- a/packages/coordination/tests/fakeNetwork.ts
+++ b/packages/coordination/tests/fakeNetwork.ts
@@ -66,33 +66,33 @@
   }
 
   /** Keys that were started more than once. */
-  get startedTwice (): string[] {
+  get duplicateStarts (): string[] {
     return this.starts.filter((key, index) => this.starts.indexOf(key) !== index)
   }
 
   /** Opens a session; an earlier one of the pair is cut first, as a dialer does. */
   connect (entry: FakeEntry, agent: FakeAgent): void {
-    const before = this.session(entry, agent)
-    before?.cut()
-    if (before !== undefined) this.replaced.push(before)
+    const previous = this.latestSession(entry, agent)
+    previous?.cut()
+    if (previous !== undefined) this.replaced.push(previous)
     const session = this.createSession(entry, agent)
     this.sessions.set(sessionKey(entry, agent), session)
   }
 
   /** The latest session of a pair. */
-  session (entry: FakeEntry, agent: FakeAgent): FakeSession | undefined {
+  latestSession (entry: FakeEntry, agent: FakeAgent): FakeSession | undefined {
     return this.sessions.get(sessionKey(entry, agent))
   }
 
   /** Replaces an agent's process by one that remembers nothing. */
   restartAgent (index: number): void {
-    const before = this.agents[index]!
-    for (const entry of this.entries) this.session(entry, before)?.cut()
-    this.agents[index] = this.createAgent(index, before.incarnation + 1)
+    const previous = this.agents[index]!
+    for (const entry of this.entries) this.latestSession(entry, previous)?.cut()
+    this.agents[index] = this.createAgent(index, previous.incarnation + 1)
   }
 
   /** Delivers everything, again and again, until nothing is under way. */
-  settle (): void {
+  deliverAll (): void {
     for (let round = 0; round < 50; round++) {
       for (const session of this.sessions.values()) {
         while (session.open && session.toAgent.length > 0) session.deliverToAgent()
@@ -134,8 +134,8 @@
       maxRunningOf: () => Infinity,
       resumeWindowMs: RESUME_WINDOW_MS,
       collectTimeoutMs: 1000,
-      setAsideShare: 0.5,
-      setAsideBackoff: () => 1000,
+      maxEjectedShare: 0.5,
+      ejectionBackoff: () => 1000,
       defer: (fn) => { this.deferred.push(fn) }
     })
     return entry
@@ -175,7 +175,7 @@
     const send = (add: (frame: AgentFrame) => void): void => {
       const frame = create(AgentFrameSchema)
       add(frame)
-      host.stamp(entry.incarnation, frame)
+      host.fillFrame(entry.incarnation, frame)
       if (session.open) session.toEntry.push(frame)
     }
     const link: AgentLink = {
--- a/packages/coordination/tests/leased/leasedNetwork.ts
+++ b/packages/coordination/tests/leased/leasedNetwork.ts
@@ -271,7 +271,7 @@
       if (!isOpen.agent) return
       const frame = create(AgentFrameSchema)
       fill(frame)
-      agent.host.stamp(entry.incarnation, frame)
+      agent.host.fillFrame(entry.incarnation, frame)
       deliver(entry.process, () => {
         if (!isOpen.entry || !entry.isUp) return
         receivedAt.entry = entryNow()
@@ -285,7 +285,7 @@
       frame.ackedSeq = acknowledgedSeq
       sentToAgentAt = entryNow()
       this.entryFrameCount++
-      entry.dispatcher.sessions.stamp(handle, frame)
+      entry.dispatcher.sessions.fillFrame(handle, frame)
       deliver(agent.process, () => {
         if (!isOpen.agent || !agent.isUp) return
         receivedAt.agent = agentNow()
--- a/packages/coordination/tests/leased/unverifiedLeases.test.ts
+++ b/packages/coordination/tests/leased/unverifiedLeases.test.ts
@@ -187,7 +187,7 @@
   /** The timestamp that a frame sent now echoes; 0 if none. */
   get echo (): number {
     const frame: EntryFrame = create(EntryFrameSchema)
-    this.sessions.stamp(this.agent, frame)
+    this.sessions.fillFrame(this.agent, frame)
     return frame.echoStampMs
   }
 
--- a/packages/lab/src/labSession.ts
+++ b/packages/lab/src/labSession.ts
@@ -80,7 +80,7 @@
       ...common,
       process: agent.process,
       createFrame: () => create(AgentFrameSchema),
-      fillFrame: (frame) => { if (this.agentSide.isOpen) agent.host.stamp(entry.incarnation, frame) },
+      fillFrame: (frame) => { if (this.agentSide.isOpen) agent.host.fillFrame(entry.incarnation, frame) },
       sizeOf: (frame) => frameBytes + toBinary(AgentFrameSchema, frame).length,
       deliver: (frame, ms, bytes) => options.deliver(ms, bytes, entry.process, () => this.onFrameAtEntry(frame))
     })
@@ -120,7 +120,7 @@
 
   private fillFrame (frame: EntryFrame): void {
     frame.ackedSeq = this.acked
-    if (this.handle !== undefined && this.entrySide.isOpen) this.options.entry.dispatcher.sessions.stamp(this.handle, frame)
+    if (this.handle !== undefined && this.entrySide.isOpen) this.options.entry.dispatcher.sessions.fillFrame(this.handle, frame)
   }
 
   private onFrameAtEntry (frame: AgentFrame): void {
--- a/packages/lab/src/labWorld.ts
+++ b/packages/lab/src/labWorld.ts
@@ -164,7 +164,7 @@
       score: (address) => rendezvousScore(id, address),
       limits: this.scenario.part,
       seeds: [],
-      seedPaceMs: 0,
+      seedIntervalMs: 0,
       dial: (address, handle) => this.links[index]![Number(address)]!.dial(handle)
     })
     dialer.onLookedUp(this.entryLocations)
--- a/packages/sessions/src/createSessions.ts
+++ b/packages/sessions/src/createSessions.ts
@@ -7,8 +7,8 @@
 import { EntryFrameSchema, EntryListSchema, WelcomeSchema } from '@hazellift/protocol'
 import type { AgentFrame, EntryFrame, SessionService } from '@hazellift/protocol'
 import type { EntryLocation } from '@hazellift/decisions'
-import { Pulse } from './pulse.js'
-import type { PulseOptions } from './pulse.js'
+import { KeepAliveMonitor } from './keepAliveMonitor.js'
+import type { KeepAliveOptions } from './keepAliveMonitor.js'
 
 /** What sessions need. */
 export interface SessionOptions<Agent> {
@@ -18,7 +18,7 @@
   entryId: string
   incarnation: string
   /** How often agents hear of this entry, and how long one may be silent. */
-  pulse: PulseOptions
+  keepAlive: KeepAliveOptions
   /** Entries that agents may dial. */
   entries: () => EntryLocation[]
 }
@@ -27,7 +27,7 @@
 export interface Sessions {
   service: ServiceImpl<typeof SessionService>
   /** Tells all agents which entries live. */
-  spreadEntries: () => void
+  broadcastEntries: () => void
   /** Tells all agents that this entry takes no new work. */
   leave: () => void
   closeAll: () => void
@@ -45,31 +45,31 @@
 const newFrame = (): EntryFrame => create(EntryFrameSchema)
 
 /** Entries that come or go together are told of in one list: at the start of a fleet of 35, each of them would be one more. */
-const SPREAD_MS = 200
+const BROADCAST_DELAY_MS = 200
 
 /** The agents' side of an entry's server: one task a session. */
 class AgentSessions<Agent extends { agentId: string }> implements Sessions {
   private readonly outboxes = new Set<Outbox<EntryFrame>>()
-  private readonly pulse: Pulse
-  private spreading: NodeJS.Timeout | undefined
+  private readonly pulse: KeepAliveMonitor
+  private broadcastTimer: NodeJS.Timeout | undefined
 
   constructor (private readonly options: SessionOptions<Agent>) {
-    this.pulse = new Pulse(options.pulse)
+    this.pulse = new KeepAliveMonitor(options.keepAlive)
   }
 
   readonly service: Sessions['service'] = { open: (frames, context) => this.open(frames, context) }
 
-  spreadEntries = (): void => {
-    this.spreading ??= setTimeout(() => {
-      this.spreading = undefined
-      this.addToAll(this.listEntries)
-    }, SPREAD_MS)
+  broadcastEntries = (): void => {
+    this.broadcastTimer ??= setTimeout(() => {
+      this.broadcastTimer = undefined
+      this.addToAll(this.addEntryList)
+    }, BROADCAST_DELAY_MS)
   }
 
   leave = (): void => this.addToAll((frame) => { frame.leaving = true })
 
   closeAll = (): void => {
-    clearTimeout(this.spreading)
+    clearTimeout(this.broadcastTimer)
     for (const outbox of this.outboxes) outbox.close()
   }
 
@@ -77,28 +77,28 @@
     for (const outbox of this.outboxes) outbox.add(add)
   }
 
-  private readonly listEntries = (frame: EntryFrame): void => {
+  private readonly addEntryList = (frame: EntryFrame): void => {
     frame.entries = create(EntryListSchema, { entries: this.options.entries() })
   }
 
   private async * open (frames: AsyncIterable<AgentFrame>, context: HandlerContext): AsyncGenerator<EntryFrame> {
     const { dispatcher, observe } = this.options
-    const outbox = this.welcome()
+    const outbox = this.openOutbox()
     const link: AgentLink = { add: (add) => outbox.add(add), acknowledge: (seq) => { session.ackedSeq = seq }, close: () => outbox.close() }
     const session: Session<Agent> = { link, agent: undefined, ackedSeq: 0n }
     const watched = this.pulse.watch({
       isBusy: () => session.agent === undefined || dispatcher.isBusyWith?.(session.agent) !== false,
-      keepAlive: () => link.add(() => {}),
-      giveUp: link.close
+      sendKeepAlive: () => link.add(() => {}),
+      onTimeout: link.close
     })
     context.signal.addEventListener('abort', link.close)
-    void this.read(frames, session, watched.seen)
+    void this.read(frames, session, watched.onReceived)
     try {
       for await (const frame of outbox) {
         frame.ackedSeq = session.ackedSeq
-        if (session.agent !== undefined) dispatcher.stamp?.(session.agent, frame)
+        if (session.agent !== undefined) dispatcher.fillFrame?.(session.agent, frame)
         observe.sent(frame)
-        watched.sent()
+        watched.onSent()
         yield frame
       }
     } finally {
@@ -109,13 +109,13 @@
   }
 
   /** The first frame of a session waits in its outbox. */
-  private welcome (): Outbox<EntryFrame> {
+  private openOutbox (): Outbox<EntryFrame> {
     const { entryId, incarnation } = this.options
     const outbox = new Outbox(newFrame, () => yieldTurn())
     this.outboxes.add(outbox)
     outbox.add((frame) => {
       frame.welcome = create(WelcomeSchema, { entryId, incarnation })
-      this.listEntries(frame)
+      this.addEntryList(frame)
     })
     return outbox
   }
--- a/packages/sessions/src/dialEntry.ts
+++ b/packages/sessions/src/dialEntry.ts
@@ -9,7 +9,7 @@
 import { AgentFrameSchema, CLUSTER_TOKEN_HEADER, HelloSchema, SessionService } from '@hazellift/protocol'
 import type { AgentFrame, EntryFrame } from '@hazellift/protocol'
 import type { DialHandle } from './entryDialer.js'
-import type { Pulse, Watched } from './pulse.js'
+import type { KeepAliveMonitor, SessionWatch } from './keepAliveMonitor.js'
 
 /** What an agent's sessions need. */
 export interface DialOptions {
@@ -19,7 +19,7 @@
   zone: string
   clusterToken: string
   /** Looks after all sessions of the process. */
-  pulse: Pulse
+  keepAliveMonitor: KeepAliveMonitor
 }
 
 /** The entry at the other end; its incarnation is empty until it said welcome. */
@@ -44,10 +44,10 @@
 }
 
 /** Fills in each frame's stamp as it leaves, so that the stamp is fresh. */
-async function * stamped (host: SessionHost, outbox: Outbox<AgentFrame>, peer: Peer, watched: Watched): AsyncGenerator<AgentFrame> {
+async function * filledFrames (host: SessionHost, outbox: Outbox<AgentFrame>, peer: Peer, watched: SessionWatch): AsyncGenerator<AgentFrame> {
   for await (const frame of outbox) {
-    host.stamp(peer.incarnation, frame)
-    watched.sent()
+    host.fillFrame(peer.incarnation, frame)
+    watched.onSent()
     yield frame
   }
 }
@@ -79,7 +79,7 @@
  * @param handle - how the dialer steers it, and hears of it
  */
 export const dialEntry = async (address: string, options: DialOptions, handle: DialHandle): Promise<void> => {
-  const { host, pulse } = options
+  const { host, keepAliveMonitor: pulse } = options
   const outbox = openOutbox(options)
   const add: AddToFrame = (change) => outbox.add(change)
   const over = new AbortController()
@@ -88,15 +88,15 @@
   const watched = pulse.watch({
     // Until the entry has said welcome, its silence must be noticed soon.
     isBusy: () => peer.incarnation === '' || host.isBusyWith?.(peer.incarnation) !== false,
-    keepAlive: () => outbox.add(() => {}),
-    giveUp: () => over.abort()
+    sendKeepAlive: () => outbox.add(() => {}),
+    onTimeout: () => over.abort()
   })
   handle.signal.addEventListener('abort', () => over.abort(), { signal })
   if (handle.signal.aborted) over.abort()
   handle.retired.addEventListener('abort', () => { void retire(host, peer, add, over) }, { signal })
   try {
-    for await (const frame of openStream(address, options, stamped(host, outbox, peer, watched), signal)) {
-      watched.seen()
+    for await (const frame of openStream(address, options, filledFrames(host, outbox, peer, watched), signal)) {
+      watched.onReceived()
       if (frame.welcome !== undefined) {
         peer.incarnation = frame.welcome.incarnation
         log('session_open', { address, entry: frame.welcome.entryId })
--- a/packages/sessions/src/entryDialer.test.ts
+++ b/packages/sessions/src/entryDialer.test.ts
@@ -32,7 +32,7 @@
       score: (address) => rendezvousScore('agent', address),
       limits,
       seeds,
-      seedPaceMs,
+      seedIntervalMs: seedPaceMs,
       dial: (address, handle) => this.dial(address, handle)
     })
   }
--- a/packages/sessions/src/index.ts
+++ b/packages/sessions/src/index.ts
@@ -2,6 +2,6 @@
 export * from './createSessions.js'
 export * from './dialEntry.js'
 export * from './entryDialer.js'
-export * from './pulse.js'
+export * from './keepAliveMonitor.js'
 export * from './handOnStreams.js'
 export * from './neighbours.js'
--- a/packages/sessions/src/pulse.test.ts
+++ b/packages/sessions/src/keepAliveMonitor.test.ts
@@ -1,5 +1,5 @@
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest'
-import { Pulse } from './pulse.js'
+import { KeepAliveMonitor } from './keepAliveMonitor.js'
 
 const OPTIONS = { busy: { keepAliveMs: 150, timeoutMs: 500 }, idle: { keepAliveMs: 300, timeoutMs: 1000 } }
 
@@ -32,16 +32,16 @@
     const passed = (): number => Date.now() - startedAt
     const kept: number[] = []
     let given: number | undefined
-    const watched = new Pulse(OPTIONS, Date.now).watch({
+    const watched = new KeepAliveMonitor(OPTIONS, Date.now).watch({
       isBusy: () => passed() >= busyFrom,
-      keepAlive: () => {
+      sendKeepAlive: () => {
         kept.push(passed())
-        watched.sent()
+        watched.onSent()
       },
-      giveUp: () => { given ??= passed() }
+      onTimeout: () => { given ??= passed() }
     })
-    for (const at of framesAt) setTimeout(watched.sent, at)
-    for (const at of seenAt ?? Array.from({ length: 20 }, (_, index) => index * 100)) setTimeout(watched.seen, at)
+    for (const at of framesAt) setTimeout(watched.onSent, at)
+    for (const at of seenAt ?? Array.from({ length: 20 }, (_, index) => index * 100)) setTimeout(watched.onReceived, at)
     vi.advanceTimersByTime(lengthMs)
     watched.stop()
     vi.advanceTimersByTime(2000)
--- a/packages/sessions/src/pulse.ts
+++ b/packages/sessions/src/keepAliveMonitor.ts
@@ -1,43 +1,43 @@
 /** How often a side of a session shows that it lives, and how long it bears silence; in ms. */
-export interface PulseTimes {
+export interface KeepAliveTimes {
   keepAliveMs: number
   timeoutMs: number
 }
 
 /** What sessions of a process go by. */
-export interface PulseOptions {
+export interface KeepAliveOptions {
   /** While orders are out. */
-  busy: PulseTimes
+  busy: KeepAliveTimes
   /** While there are none. */
-  idle: PulseTimes
+  idle: KeepAliveTimes
 }
 
 /** One side of a session. */
-export interface PulseMember {
+export interface MonitoredSession {
   /** True while orders are out on it: both sides must notice soon if the other one is lost. */
   isBusy: () => boolean
   /** Sends a frame with nothing in it. */
-  keepAlive: () => void
+  sendKeepAlive: () => void
   /** The other side has been silent for too long. */
-  giveUp: () => void
+  onTimeout: () => void
 }
 
 /** A session that is being watched. */
-export interface Watched {
+export interface SessionWatch {
   /** A frame left: none of its own is due for a whole interval. */
-  sent: () => void
+  onSent: () => void
   /** A frame arrived. */
-  seen: () => void
+  onReceived: () => void
   stop: () => void
 }
 
 /** How often sessions are looked at: a frame may be so much late, or early by half of it. */
-const TICK_MS = 50
+const CHECK_INTERVAL_MS = 50
 
-interface Entry {
-  member: PulseMember
+interface WatchedSession {
+  member: MonitoredSession
   sentAt: number
-  seenAt: number
+  receivedAt: number
 }
 
 /**
@@ -45,41 +45,41 @@
  * fallen silent: one timer for all, as hundreds of them by themselves cost a
  * wake-up each.
  */
-export class Pulse {
-  private readonly watched = new Set<Entry>()
+export class KeepAliveMonitor {
+  private readonly watched = new Set<WatchedSession>()
   private timer: NodeJS.Timeout | undefined
 
   /**
    * @param options - intervals
    * @param now - in ms, never back
    */
-  constructor (private readonly options: PulseOptions, private readonly now: () => number = () => performance.now()) {}
+  constructor (private readonly options: KeepAliveOptions, private readonly now: () => number = () => performance.now()) {}
 
   /** Looks after a session until it is stopped. */
-  watch (member: PulseMember): Watched {
+  watch (member: MonitoredSession): SessionWatch {
     const entry = { member, sentAt: this.now(), seenAt: this.now() }
     this.watched.add(entry)
-    this.timer ??= setInterval(() => this.tick(), TICK_MS)
+    this.timer ??= setInterval(() => this.check(), CHECK_INTERVAL_MS)
     return {
-      sent: () => { entry.sentAt = this.now() },
-      seen: () => { entry.seenAt = this.now() },
+      onSent: () => { entry.sentAt = this.now() },
+      onReceived: () => { entry.seenAt = this.now() },
       stop: () => this.stop(entry)
     }
   }
 
-  private stop (entry: Entry): void {
+  private stop (entry: WatchedSession): void {
     this.watched.delete(entry)
     if (this.watched.size > 0) return
     clearInterval(this.timer)
     this.timer = undefined
   }
 
-  private tick (): void {
+  private check (): void {
     const now = this.now()
-    for (const { member, sentAt, seenAt } of this.watched) {
+    for (const { member, sentAt, receivedAt: seenAt } of this.watched) {
       const { keepAliveMs, timeoutMs } = member.isBusy() ? this.options.busy : this.options.idle
-      if (now - seenAt > timeoutMs) member.giveUp()
-      else if (now - sentAt >= keepAliveMs - TICK_MS / 2) member.keepAlive()
+      if (now - seenAt > timeoutMs) member.onTimeout()
+      else if (now - sentAt >= keepAliveMs - CHECK_INTERVAL_MS / 2) member.sendKeepAlive()
     }
   }
 }
--- a/packages/sessions/src/neighbours.test.ts
+++ b/packages/sessions/src/neighbours.test.ts
@@ -16,8 +16,8 @@
     zone: 'z1',
     score: (address) => -Number(address[1]),
     others: () => others,
-    isWanted: () => state.isWanted,
-    outstanding: () => state.outstanding,
+    needsStreams: () => state.isWanted,
+    outstandingJobs: () => state.outstanding,
     dial: async ({ address }, signal) => {
       dials++
       if (state.refusing.has(address)) return
--- a/packages/sessions/src/neighbours.ts
+++ b/packages/sessions/src/neighbours.ts
@@ -11,9 +11,9 @@
   /** All other entries that are known. */
   others: () => EntryLocation[]
   /** True while streams are called for. */
-  isWanted: () => boolean
+  needsStreams: () => boolean
   /** Jobs that neighbours have. */
-  outstanding: () => number
+  outstandingJobs: () => number
   /** Holds one stream until it ends. */
   dial: (entry: EntryLocation, signal: AbortSignal) => Promise<void>
 }
@@ -21,7 +21,7 @@
 /** Each costs both sides some frames a second while it stands. */
 const LIMITS: SubsetLimits = { near: 1, far: 2 }
 /** A neighbour whose stream ended is left alone for so long; another one is tried meanwhile. */
-const PAUSE_MS = 2000
+const REDIAL_DELAY_MS = 2000
 
 /** Streams of an entry to some others, while it has work to hand on; none at other times. */
 export class Neighbours {
@@ -37,15 +37,15 @@
 
   /** Begins what is wanted, ends what is not; to be called a few tens of times a second. */
   sweep (): void {
-    const { isWanted, outstanding, others, zone, score } = this.options
+    const { needsStreams: isWanted, outstandingJobs: outstanding, others, zone, score } = this.options
     if (!isWanted()) {
       if (this.streams.size > 0 && outstanding() === 0) this.stop()
       return
     }
     if (this.streams.size >= LIMITS.near + LIMITS.far) return
     const entries = others()
-    const wanted = chooseSubset(entries, { zone, score, isUnreachable: (address) => this.isResting(address) }, LIMITS)
-    for (const entry of entries) if (wanted.has(entry.address) && !this.isResting(entry.address)) this.begin(entry)
+    const wanted = chooseSubset(entries, { zone, score, isUnreachable: (address) => this.hasEndedRecently(address) }, LIMITS)
+    for (const entry of entries) if (wanted.has(entry.address) && !this.hasEndedRecently(entry.address)) this.openStream(entry)
   }
 
   /** Ends all streams. */
@@ -53,7 +53,7 @@
     for (const stream of this.streams.values()) stream.abort()
   }
 
-  private begin (entry: EntryLocation): void {
+  private openStream (entry: EntryLocation): void {
     const { address } = entry
     if (this.streams.has(address) || this.streams.size >= LIMITS.near + LIMITS.far) return
     const stream = new AbortController()
@@ -64,7 +64,7 @@
     })
   }
 
-  private isResting (address: string): boolean {
-    return this.options.clock.now() - (this.endedAt.get(address) ?? -Infinity) < PAUSE_MS
+  private hasEndedRecently (address: string): boolean {
+    return this.options.clock.now() - (this.endedAt.get(address) ?? -Infinity) < REDIAL_DELAY_MS
   }
 }
