--- a/model/config.pml
+++ b/model/config.pml
@@ -1,7 +1,7 @@
 /*
- * The configuration: two operators race at two entries, acknowledgements get
- * lost, writes are held up, entries restart. One record; versions are small
- * numbers. docs/MODEL.md maps the steps to functions.
+ * Changes of the configuration: two operators change one record concurrently
+ * through two entries. Acknowledgements are lost, writes are delayed, and entries
+ * restart. Versions are small numbers. docs/MODEL.md maps the steps to functions.
  */
 
 #define NE 2
@@ -17,53 +17,53 @@
 
 /* The table: head, the record with the operation that wrote it, and the history. */
 byte head, recordVersion, recordOp;
-byte history[MAX_VERSION + 2];    /* operation that was accepted at a version */
+byte history[MAX_VERSION + 2];    /* the operation that was accepted at a version */
 
-/* A transaction held up on its way, by entry. */
-bool late[NE];
-byte lateHead[NE], lateRecord[NE], lateOp[NE];
+/* A transaction that reaches the table late, by entry. */
+bool isWriteDelayed[NE];
+byte delayedHead[NE], delayedRecord[NE], delayedOp[NE];
 
-/* What an entry has in force, and the highest that it ever had. */
-byte inForce[NE], highest[NE];
-byte acceptedTold;                /* highest version that an operator was told is accepted */
-bool refusedTold[NE + 1];         /* operation that was told to have lost */
-byte lostAcks, restarts;
+/* The version in force at an entry, and the highest one that ever was. */
+byte inForce[NE], highestInForce[NE];
+byte acceptedReported;                /* the highest version that was reported to an operator as accepted */
+bool refusalReported[NE + 1];         /* operations that were reported as refused because of another change */
+byte lostAckCount, restartCount;
 
 #ifndef NO_HISTORY_CHECK
-#define KNOWN_ACCEPTED (inDoubt != 0 && history[inDoubt] == op)
+#define KNOWN_ACCEPTED (inDoubtVersion != 0 && history[inDoubtVersion] == op)
 #else
 #define KNOWN_ACCEPTED false
 #endif
 
-/* Head, record and history in one transaction, on the versions that were read. */
-inline apply(seenHead, seenRecord, op) {
+/* Writes head, record and history in one transaction, on condition of the versions that were read. */
+inline apply(readHead, readRecord, op) {
 #ifndef NO_HEAD_CONDITION
   if
-  :: head == seenHead && recordVersion == seenRecord ->
+  :: head == readHead && recordVersion == readRecord ->
 #else
   if
-  :: recordVersion == seenRecord ->
+  :: recordVersion == readRecord ->
 #endif
-     head = seenHead + 1;
-     recordVersion = seenHead + 1;
+     head = readHead + 1;
+     recordVersion = readHead + 1;
      recordOp = op;
-     assert(!refusedTold[op]);
-     assert(history[seenHead + 1] == 0);
-     history[seenHead + 1] = op
+     assert(!refusalReported[op]);
+     assert(history[readHead + 1] == 0);
+     history[readHead + 1] = op
   :: else
   fi
 }
 
-/* An operator is told that a rival's change came first: nothing of this one may have taken effect, nor ever will. */
-inline tellRefused(op) {
-  refusedTold[op] = true;
+/* Reports to an operator that another change came first: this one must not have taken effect and must never do so. */
+inline reportRefused(op) {
+  refusalReported[op] = true;
   byte v;
   for (v : 1 .. MAX_VERSION + 1) { assert(history[v] != op) }
   v = 0
 }
 
-/* Some other record changes, and so does the head. */
-proctype Others() {
+/* Other records change, which moves the head. */
+proctype OtherChanges() {
   do
   :: atomic { head < MAX_VERSION - 1 -> head++; history[head] = 9 }
   :: break
@@ -74,110 +74,110 @@
   byte e;
   do
   :: atomic {
-       late[0] || late[1] ->
-       if :: late[0] -> e = 0 :: late[1] -> e = 1 fi;
-       late[e] = false;
-       apply(lateHead[e], lateRecord[e], lateOp[e]);
+       isWriteDelayed[0] || isWriteDelayed[1] ->
+       if :: isWriteDelayed[0] -> e = 0 :: isWriteDelayed[1] -> e = 1 fi;
+       isWriteDelayed[e] = false;
+       apply(delayedHead[e], delayedRecord[e], delayedOp[e]);
        e = 0
      }
   od
 }
 
-/* An operator puts one change through an entry, made from the version that the operator saw. */
+/* An operator submits one change through an entry, based on the version that the operator has read. */
 proctype Put(byte e) {
-  byte op = e + 1, base, seenHead, seenRecord, seenOp, inDoubt;
+  byte op = e + 1, base, readHead, readRecord, readOp, inDoubtVersion;
 
   base = recordVersion;
 
 again:
-  atomic { seenHead = head; seenRecord = recordVersion; seenOp = recordOp };
+  atomic { readHead = head; readRecord = recordVersion; readOp = recordOp };
   if
-  :: seenOp == op -> goto accepted
-  :: seenOp != op && KNOWN_ACCEPTED -> goto accepted
-  :: seenOp != op && seenRecord != base && !KNOWN_ACCEPTED -> atomic { tellRefused(op); goto end }
+  :: readOp == op -> goto accepted
+  :: readOp != op && KNOWN_ACCEPTED -> goto accepted
+  :: readOp != op && readRecord != base && !KNOWN_ACCEPTED -> atomic { reportRefused(op); goto end }
   :: else
   fi;
   if
-  :: seenHead >= MAX_VERSION -> goto end
+  :: readHead >= MAX_VERSION -> goto end
   :: else
   fi;
   if
   :: atomic {
        if
-       :: head == seenHead && recordVersion == seenRecord -> apply(seenHead, seenRecord, op); goto accepted
+       :: head == readHead && recordVersion == readRecord -> apply(readHead, readRecord, op); goto accepted
        :: else -> goto again
        fi
      }
-  :: atomic { lostAcks < MAX_LOST_ACKS -> lostAcks++; apply(seenHead, seenRecord, op); inDoubt = seenHead + 1; goto again }
+  :: atomic { lostAckCount < MAX_LOST_ACKS -> lostAckCount++; apply(readHead, readRecord, op); inDoubtVersion = readHead + 1; goto again }
   :: atomic {
-       !late[e] && lostAcks < MAX_LOST_ACKS -> lostAcks++;
-       late[e] = true; lateHead[e] = seenHead; lateRecord[e] = seenRecord; lateOp[e] = op; inDoubt = seenHead + 1; goto again
+       !isWriteDelayed[e] && lostAckCount < MAX_LOST_ACKS -> lostAckCount++;
+       isWriteDelayed[e] = true; delayedHead[e] = readHead; delayedRecord[e] = readRecord; delayedOp[e] = op; inDoubtVersion = readHead + 1; goto again
      }
   fi;
 
 accepted:
   atomic {
     if
-    :: recordOp == op && recordVersion > acceptedTold -> acceptedTold = recordVersion
+    :: recordOp == op && recordVersion > acceptedReported -> acceptedReported = recordVersion
     :: else
     fi;
-    /* An operation that was accepted is told so, and never that it lost. */
-    assert(!refusedTold[op])
+    /* An accepted operation is reported as accepted and never as refused. */
+    assert(!refusalReported[op])
   };
 end:
-  atomic { base = 0; seenHead = 0; seenRecord = 0; seenOp = 0; inDoubt = 0 }
+  atomic { base = 0; readHead = 0; readRecord = 0; readOp = 0; inDoubtVersion = 0 }
 }
 
-/* An entry's watch: it reads the head, then the changes, in two steps that others may come between. */
+/* An entry's watch: it reads the head and then the changes, in two steps; other processes may act in between. */
 proctype Watch(byte e) {
-  byte seen;
+  byte headVersion;
   do
-  :: atomic { seen = head };
+  :: atomic { headVersion = head };
      /* The changes up to the head that was read are applied, higher versions only. */
      atomic {
        if
-       :: seen > inForce[e] -> inForce[e] = seen
+       :: headVersion > inForce[e] -> inForce[e] = headVersion
 #ifdef NO_HIGHER_ONLY
-       :: seen <= inForce[e] -> inForce[e] = seen
+       :: headVersion <= inForce[e] -> inForce[e] = headVersion
 #else
        :: else
 #endif
        fi;
-       assert(inForce[e] >= highest[e]);
-       highest[e] = inForce[e];
-       seen = 0
+       assert(inForce[e] >= highestInForce[e]);
+       highestInForce[e] = inForce[e];
+       headVersion = 0
      }
-  /* The process restarts and serves only after it has read the whole configuration. */
+  /* The process restarts; it serves only after it has read the whole configuration. */
   :: atomic {
-       restarts < MAX_RESTARTS -> restarts++;
+       restartCount < MAX_RESTARTS -> restartCount++;
 #ifdef NO_READ_BEFORE_READY
        inForce[e] = 0;
 #else
        inForce[e] = head;
 #endif
-       assert(inForce[e] >= highest[e]);
-       highest[e] = inForce[e]
+       assert(inForce[e] >= highestInForce[e]);
+       highestInForce[e] = inForce[e]
      }
   od
 }
 
-/* A peer tells of a version; the watch reads again, at the same time as a pass of its own. */
-proctype Told(byte e) {
+/* A peer reports a new version; the entry reads it, concurrently with its own watch. */
+proctype Notified(byte e) {
   do
-  :: atomic { head > inForce[e] -> inForce[e] = head; highest[e] = inForce[e] }
+  :: atomic { head > inForce[e] -> inForce[e] = head; highestInForce[e] = inForce[e] }
   od
 }
 
 init {
   atomic {
-    run Others(); run Network();
+    run OtherChanges(); run Network();
     run Put(0); run Put(1);
-    run Watch(0); run Told(0); run Watch(1)
+    run Watch(0); run Notified(0); run Watch(1)
   }
 }
 
-/* What was accepted never reverts. */
-#define NEVER_REVERTS (recordVersion >= acceptedTold && head >= recordVersion)
+/* An accepted change never reverts. */
+#define NEVER_REVERTS (recordVersion >= acceptedReported && head >= recordVersion)
 active proctype Monitor() {
 end_monitor:
   atomic { !NEVER_REVERTS -> assert(false) }
--- a/model/evacuation.pml
+++ b/model/evacuation.pml
@@ -1,8 +1,8 @@
 /*
- * Evacuations of one zone: the operator's row is written, removed and written
- * again; entries read the store by changes or in full, or cannot read it; they
- * and agents pass the list on; both restart and forget. One agent stands in the
- * zone, one outside it. docs/MODEL.md maps the steps to functions.
+ * Evacuation of one zone: the operator's row is written, removed and written
+ * again. Entries read the store by changes or in full, or cannot read it; entries
+ * and agents forward the list to each other; both restart and lose their state.
+ * Agent 0 is in the zone, agent 1 is not. docs/MODEL.md maps the steps to functions.
  */
 
 #define NE 2
@@ -18,32 +18,32 @@
 byte storeVersion;
 bool isEvacuatedAt[MAX_VERSION + 1];
 
-/* What a process has: the version of its list, and the list. 0 for nothing. */
+/* The list that a process has, and its version; 0 for none. */
 byte entryVersion[NE], agentVersion[NA];
 bool entryList[NE], agentList[NA];
 
-/* A frame on its way from an entry to an agent: the list, if any, and a start with what its entry knew. */
-bool isFrameOut[NE * NA], hasList[NE * NA], hasStart[NE * NA], frameList[NE * NA];
-byte frameVersion[NE * NA], placedBy[NE * NA];
-/* The version that the agent has by now, as its entry believes on this session. */
-byte believed[NE * NA];
+/* A frame in transit from an entry to an agent: a list, if any, and a start, if any, with the version of the list by which it was placed. */
+bool isFrameInTransit[NE * NA], frameHasList[NE * NA], frameHasStart[NE * NA], frameList[NE * NA];
+byte frameVersion[NE * NA], placementVersion[NE * NA];
+/* The version that the agent has, as far as the entry knows from this session. */
+byte knownAgentVersion[NE * NA];
 
-byte restarts;
+byte restartCount;
 
-inline check(version, list) { assert(list == isEvacuatedAt[version]) }
+inline checkList(version, list) { assert(list == isEvacuatedAt[version]) }
 
-/* Nobody goes back to older news. */
-inline take(version, list, myVersion, myList) {
+/* A list is adopted only if it is newer. */
+inline update(version, list, ownVersion, ownList) {
   if
 #ifdef NO_NEWER_ONLY
-  :: version != myVersion ->
+  :: version != ownVersion ->
 #else
-  :: version > myVersion ->
+  :: version > ownVersion ->
 #endif
-     assert(version > myVersion);
-     myVersion = version;
-     myList = list;
-     check(myVersion, myList)
+     assert(version > ownVersion);
+     ownVersion = version;
+     ownList = list;
+     checkList(ownVersion, ownList)
   :: else
   fi
 }
@@ -59,104 +59,104 @@
   od
 }
 
-/* Entry 1 may never read the store: it is turned away. */
+/* Entry 1 may never read the store, because the store rejects its reads. */
 proctype Entry(byte e) {
-  byte a, l, seen;
-  bool seenList;
+  byte a, link, readVersion;
+  bool readList;
   do
-  /* A read is answered as of its version, and read later. */
-  :: atomic { storeVersion > 0 -> seen = storeVersion; seenList = isEvacuatedAt[seen] };
+  /* A read is answered as of its version; the answer is processed later. */
+  :: atomic { storeVersion > 0 -> readVersion = storeVersion; readList = isEvacuatedAt[readVersion] };
 #ifdef NO_VERSION_OF_ITS_OWN
-     /* The list is told with the version that is newest when the answer is read. */
-     atomic { seen = storeVersion; take(seen, seenList, entryVersion[e], entryList[e]); seen = 0; seenList = false }
+     /* The list gets the version that is newest when the answer is processed. */
+     atomic { readVersion = storeVersion; update(readVersion, readList, entryVersion[e], entryList[e]); readVersion = 0; readList = false }
 #else
-     atomic { take(seen, seenList, entryVersion[e], entryList[e]); seen = 0; seenList = false }
+     atomic { update(readVersion, readList, entryVersion[e], entryList[e]); readVersion = 0; readList = false }
 #endif
-  /* A frame leaves; with a start only if the entry's list allows one in the zone (agent 0). */
+  /* A frame is sent; it has a start only if the entry's list allows one in the zone (agent 0). */
   :: atomic {
        if :: a = 0 :: a = 1 fi;
-       l = e * NA + a;
+       link = e * NA + a;
        if
-       :: !isFrameOut[l] ->
-          isFrameOut[l] = true;
+       :: !isFrameInTransit[link] ->
+          isFrameInTransit[link] = true;
           if
 #ifndef NO_LIST_WITH_STARTS
-          :: believed[l] < entryVersion[e] ->
-             hasList[l] = true; frameVersion[l] = entryVersion[e]; frameList[l] = entryList[e]; believed[l] = entryVersion[e]
+          :: knownAgentVersion[link] < entryVersion[e] ->
+             frameHasList[link] = true; frameVersion[link] = entryVersion[e]; frameList[link] = entryList[e]; knownAgentVersion[link] = entryVersion[e]
 #endif
           :: else
           fi;
           if
-          :: a == 0 && !entryList[e] -> hasStart[l] = true; placedBy[l] = entryVersion[e]
+          :: a == 0 && !entryList[e] -> frameHasStart[link] = true; placementVersion[link] = entryVersion[e]
           :: true
           fi
        :: else
        fi;
-       a = 0; l = 0
+       a = 0; link = 0
      }
   :: atomic {
-       restarts < MAX_RESTARTS -> restarts++;
+       restartCount < MAX_RESTARTS -> restartCount++;
        entryVersion[e] = 0; entryList[e] = false;
        for (a : 0 .. NA - 1) {
-         l = e * NA + a;
-         isFrameOut[l] = false; hasList[l] = false; hasStart[l] = false; frameVersion[l] = 0; frameList[l] = false; placedBy[l] = 0;
-         believed[l] = 0
+         link = e * NA + a;
+         isFrameInTransit[link] = false; frameHasList[link] = false; frameHasStart[link] = false; frameVersion[link] = 0; frameList[link] = false; placementVersion[link] = 0;
+         knownAgentVersion[link] = 0
        }
-       a = 0; l = 0
+       a = 0; link = 0
      }
   od
 }
 
 proctype Agent(byte a) {
-  byte e, l;
+  byte e, link;
   do
-  /* A frame is read: its list first, then its start. */
+  /* A frame is processed: first its list, then its start. */
   :: atomic {
        if :: e = 0 :: e = 1 fi;
-       l = e * NA + a;
+       link = e * NA + a;
        if
-       :: isFrameOut[l] ->
+       :: isFrameInTransit[link] ->
           if
-          :: hasList[l] -> take(frameVersion[l], frameList[l], agentVersion[a], agentList[a])
+          :: frameHasList[link] -> update(frameVersion[link], frameList[link], agentVersion[a], agentList[a])
           :: else
           fi;
           if
 #ifdef NO_OWN_CHECK
-          :: hasStart[l] ->
+          :: frameHasStart[link] ->
 #else
-          :: hasStart[l] && !agentList[a] ->
+          :: frameHasStart[link] && !agentList[a] ->
 #endif
-             /* A start begins: the agent knows at least what its entry knew, and nothing it knows forbids it. */
-             assert(agentVersion[a] >= placedBy[l]);
+             /* A start begins: the agent's list is at least as new as the one of the entry that sent it, and does not forbid the start. */
+             assert(agentVersion[a] >= placementVersion[link]);
              assert(!isEvacuatedAt[agentVersion[a]])
           :: else
           fi;
-          isFrameOut[l] = false; hasList[l] = false; hasStart[l] = false; frameVersion[l] = 0; frameList[l] = false; placedBy[l] = 0
+          isFrameInTransit[link] = false; frameHasList[link] = false; frameHasStart[link] = false; frameVersion[link] = 0; frameList[link] = false; placementVersion[link] = 0
        :: else
        fi;
-       e = 0; l = 0
+       e = 0; link = 0
      }
-  /* A frame of the agent tells its list to an entry. */
+  /* A frame of the agent brings its list to an entry. */
   :: atomic {
        if :: e = 0 :: e = 1 fi;
        if
-       :: agentVersion[a] > 0 -> take(agentVersion[a], agentList[a], entryVersion[e], entryList[e])
+       :: agentVersion[a] > 0 -> update(agentVersion[a], agentList[a], entryVersion[e], entryList[e])
        :: else
        fi;
        e = 0
      }
-  /* Its process restarts: its sessions end, and nothing on its way arrives. */
+  /* The process restarts: its sessions end, and frames in transit are lost. */
   :: atomic {
-       restarts < MAX_RESTARTS -> restarts++;
+       restartCount < MAX_RESTARTS -> restartCount++;
        agentVersion[a] = 0; agentList[a] = false;
        for (e : 0 .. NE - 1) {
-         l = e * NA + a;
-         isFrameOut[l] = false; hasList[l] = false; hasStart[l] = false; frameVersion[l] = 0; frameList[l] = false; placedBy[l] = 0;
+         link = e * NA + a;
+         isFrameInTransit[link] = false; frameHasList[link] = false; frameHasStart[link] = false; frameVersion[link] = 0; frameList[link] = false; placementVersion[link] = 0;
 #ifndef NO_FORGET_WITH_SESSION
-         believed[l] = 0
+         knownAgentVersion[link] = 0
 #endif
        }
-       e = 0; l = 0
+       e = 0; link = 0
      }
   od
 }
--- a/model/keepers.pml
+++ b/model/keepers.pml
@@ -1,13 +1,13 @@
 /*
- * Configuration documents between entries and the agents that keep them: the
- * store brings new versions to one entry, the other one cannot read it; frames
- * wait between being asked for and leaving, and entries restart. A document is
- * the number of the version that it truly holds. docs/MODEL.md maps the steps
- * to functions.
+ * Exchange of configuration documents between entries and replicas (agents that
+ * store a copy): one entry reads new versions from the store, the other one cannot.
+ * A frame that is due is sent some time later, and entries restart. A document is
+ * represented by the number of the version whose contents it has. docs/MODEL.md
+ * maps the steps to functions.
  */
 
 #define NE 2
-/* One keeper that both entries know is enough for what is checked: documents mix at it. */
+/* One replica shared by both entries is enough: it is where documents and versions of different entries can be mixed up. */
 #define NA 1
 #ifndef MAX_VERSION
 #define MAX_VERSION 3
@@ -16,44 +16,44 @@
 #define MAX_RESTARTS 1
 #endif
 
-byte store, restarts;
+byte storeVersion, restartCount;
 
-/* An entry's document in force, as it truly is, and the highest of its process. */
-byte inForce[NE], highest[NE];
-/* What an agent holds: the version that it was told, and the document. */
-byte heldVersion[NA], heldDocument[NA];
+/* An entry's document in force, and the highest one that was in force in this process. */
+byte inForce[NE], highestInForce[NE];
+/* An agent's copy: the version that was reported to it, and the document. */
+byte replicaVersion[NA], replicaDocument[NA];
 
-/* A frame that was asked for, with the document of that moment; by entry and agent. */
-#define AT(e, a) ((e) * NA + (a))
-bool dueToAgent[NE * NA], dueToEntry[NE * NA];
-byte askedToAgent[NE * NA], askedToEntry[NE * NA];
-/* A frame on its way: version and document; 0 for none. */
+/* A frame that is due, with the document at the time when it became due; by entry and agent. */
+#define PAIR(e, a) ((e) * NA + (a))
+bool isFrameToAgentDue[NE * NA], isFrameToEntryDue[NE * NA];
+byte documentWhenDueToAgent[NE * NA], documentWhenDueToEntry[NE * NA];
+/* A frame in transit: version and document; 0 for none. */
 byte versionToAgent[NE * NA], documentToAgent[NE * NA];
 byte versionToEntry[NE * NA], documentToEntry[NE * NA];
 
-/* The document that leaves: that of the moment, or, without the guard, the one asked for. */
+/* The document that is sent: the current one or, without the guard, the one at the time when the frame became due. */
 #ifdef NO_FILLED_AS_IT_LEAVES
-#define LEAVING(asked, now) (asked)
+#define SENT_DOCUMENT(whenDue, current) (whenDue)
 #else
-#define LEAVING(asked, now) (now)
+#define SENT_DOCUMENT(whenDue, current) (current)
 #endif
 
-/* What comes from a peer is taken if it is newer. */
+/* A document from a peer is adopted if it is newer. */
 #ifdef NO_NEWER_ONLY
-#define IS_TAKEN(version, own) (true)
+#define IS_ADOPTED(version, own) (true)
 #else
-#define IS_TAKEN(version, own) ((version) > (own))
+#define IS_ADOPTED(version, own) ((version) > (own))
 #endif
 
-inline take (e, document) {
+inline adopt (e, document) {
   inForce[e] = document;
-  assert(inForce[e] >= highest[e]);
-  highest[e] = inForce[e]
+  assert(inForce[e] >= highestInForce[e]);
+  highestInForce[e] = inForce[e]
 }
 
 active proctype operator () {
   do
-  :: store < MAX_VERSION -> store++
+  :: storeVersion < MAX_VERSION -> storeVersion++
   :: else -> break
   od
 }
@@ -62,21 +62,21 @@
   byte a;
   do
   /* ConfigSource: the first entry reads the store. */
-  :: atomic { e == 0 && store > inForce[e] -> take(e, store) }
-  /* ConfigExchange.sendToNext */
-  :: atomic { inForce[e] > 0 -> select(a : 0 .. NA - 1); if :: !dueToAgent[AT(e, a)] -> dueToAgent[AT(e, a)] = true; askedToAgent[AT(e, a)] = inForce[e] :: else fi }
-  /* ConfigExchange.askNext, and HostSessions.onConfig at once: the agent owes its document. */
-  :: atomic { select(a : 0 .. NA - 1); if :: !dueToEntry[AT(e, a)] && heldVersion[a] > inForce[e] -> dueToEntry[AT(e, a)] = true; askedToEntry[AT(e, a)] = heldDocument[a] :: else fi }
-  /* ConfigExchange.stamp */
-  :: atomic { select(a : 0 .. NA - 1); if :: dueToAgent[AT(e, a)] && versionToAgent[AT(e, a)] == 0 -> dueToAgent[AT(e, a)] = false; versionToAgent[AT(e, a)] = inForce[e]; documentToAgent[AT(e, a)] = LEAVING(askedToAgent[AT(e, a)], inForce[e]) :: else fi }
+  :: atomic { e == 0 && storeVersion > inForce[e] -> adopt(e, storeVersion) }
+  /* ConfigExchange.sendToNextReplica */
+  :: atomic { inForce[e] > 0 -> select(a : 0 .. NA - 1); if :: !isFrameToAgentDue[PAIR(e, a)] -> isFrameToAgentDue[PAIR(e, a)] = true; documentWhenDueToAgent[PAIR(e, a)] = inForce[e] :: else fi }
+  /* ConfigExchange.requestFromNext, and HostSessions.onConfig at once: the agent's document is due. */
+  :: atomic { select(a : 0 .. NA - 1); if :: !isFrameToEntryDue[PAIR(e, a)] && replicaVersion[a] > inForce[e] -> isFrameToEntryDue[PAIR(e, a)] = true; documentWhenDueToEntry[PAIR(e, a)] = replicaDocument[a] :: else fi }
+  /* ConfigExchange.fillFrame */
+  :: atomic { select(a : 0 .. NA - 1); if :: isFrameToAgentDue[PAIR(e, a)] && versionToAgent[PAIR(e, a)] == 0 -> isFrameToAgentDue[PAIR(e, a)] = false; versionToAgent[PAIR(e, a)] = inForce[e]; documentToAgent[PAIR(e, a)] = SENT_DOCUMENT(documentWhenDueToAgent[PAIR(e, a)], inForce[e]) :: else fi }
   /* ConfigExchange.onFrame */
   :: atomic { select(a : 0 .. NA - 1); if
-       :: versionToEntry[AT(e, a)] > 0 && IS_TAKEN(versionToEntry[AT(e, a)], inForce[e]) -> take(e, documentToEntry[AT(e, a)]); versionToEntry[AT(e, a)] = 0
-       :: versionToEntry[AT(e, a)] > 0 && !IS_TAKEN(versionToEntry[AT(e, a)], inForce[e]) -> versionToEntry[AT(e, a)] = 0
+       :: versionToEntry[PAIR(e, a)] > 0 && IS_ADOPTED(versionToEntry[PAIR(e, a)], inForce[e]) -> adopt(e, documentToEntry[PAIR(e, a)]); versionToEntry[PAIR(e, a)] = 0
+       :: versionToEntry[PAIR(e, a)] > 0 && !IS_ADOPTED(versionToEntry[PAIR(e, a)], inForce[e]) -> versionToEntry[PAIR(e, a)] = 0
        :: else fi }
-  /* The process ends with its sessions; another one begins. */
-  :: atomic { restarts < MAX_RESTARTS -> restarts++; inForce[e] = 0; highest[e] = 0;
-       for (a : 0 .. NA - 1) { dueToAgent[AT(e, a)] = false; dueToEntry[AT(e, a)] = false; versionToAgent[AT(e, a)] = 0; versionToEntry[AT(e, a)] = 0 };
+  /* The process and its sessions end; a new process starts. */
+  :: atomic { restartCount < MAX_RESTARTS -> restartCount++; inForce[e] = 0; highestInForce[e] = 0;
+       for (a : 0 .. NA - 1) { isFrameToAgentDue[PAIR(e, a)] = false; isFrameToEntryDue[PAIR(e, a)] = false; versionToAgent[PAIR(e, a)] = 0; versionToEntry[PAIR(e, a)] = 0 };
        a = 0 }
   od
 }
@@ -85,14 +85,14 @@
   byte e;
   do
   /* HostSessions.onConfig */
-  :: atomic { select(e : 0 .. NE - 1); if :: versionToAgent[AT(e, a)] > 0 ->
-       if :: versionToAgent[AT(e, a)] > heldVersion[a] -> heldVersion[a] = versionToAgent[AT(e, a)]; heldDocument[a] = documentToAgent[AT(e, a)] :: else fi;
-       versionToAgent[AT(e, a)] = 0;
-       /* An entry that was given this document would take it for the version it is told. */
-       assert(heldDocument[a] == heldVersion[a]) :: else fi }
-  /* HostSessions.stamp */
-  :: atomic { select(e : 0 .. NE - 1); if :: dueToEntry[AT(e, a)] && versionToEntry[AT(e, a)] == 0 -> dueToEntry[AT(e, a)] = false;
-       versionToEntry[AT(e, a)] = heldVersion[a]; documentToEntry[AT(e, a)] = LEAVING(askedToEntry[AT(e, a)], heldDocument[a]) :: else fi }
+  :: atomic { select(e : 0 .. NE - 1); if :: versionToAgent[PAIR(e, a)] > 0 ->
+       if :: versionToAgent[PAIR(e, a)] > replicaVersion[a] -> replicaVersion[a] = versionToAgent[PAIR(e, a)]; replicaDocument[a] = documentToAgent[PAIR(e, a)] :: else fi;
+       versionToAgent[PAIR(e, a)] = 0;
+       /* An entry that received this document would treat it as the version reported with it. */
+       assert(replicaDocument[a] == replicaVersion[a]) :: else fi }
+  /* HostSessions.fillFrame */
+  :: atomic { select(e : 0 .. NE - 1); if :: isFrameToEntryDue[PAIR(e, a)] && versionToEntry[PAIR(e, a)] == 0 -> isFrameToEntryDue[PAIR(e, a)] = false;
+       versionToEntry[PAIR(e, a)] = replicaVersion[a]; documentToEntry[PAIR(e, a)] = SENT_DOCUMENT(documentWhenDueToEntry[PAIR(e, a)], replicaDocument[a]) :: else fi }
   od
 }
 
