--- a/model/config.pml
+++ b/model/config.pml
@@ -17,7 +17,7 @@
 
 /* The table: head, the record with the operation that wrote it, and the history. */
 byte head, recordVersion, recordOp;
-byte history[MAX_VERSION + 2];    /* the operation that was accepted at a version */
+byte history[MAX_VERSION + 2]; /* the operation that was accepted at a version */
 
 /* A transaction that reaches the table late, by entry. */
 bool isWriteDelayed[NE];
@@ -25,8 +25,8 @@
 
 /* The version in force at an entry, and the highest one that ever was. */
 byte inForce[NE], highestInForce[NE];
-byte acceptedReported;                /* the highest version that was reported to an operator as accepted */
-bool refusalReported[NE + 1];         /* operations that were reported as refused because of another change */
+byte acceptedReported;        /* the highest version that was reported to an operator as accepted */
+bool refusalReported[NE + 1]; /* operations that were reported as refused because of another change */
 byte lostAckCount, restartCount;
 
 #ifndef NO_HISTORY_CHECK
--- a/model/outage.pml
+++ b/model/outage.pml
@@ -1,101 +1,101 @@
 /*
- * "Not run" while the table is away: an entry says it of a submission that it
- * cannot look up. Entries join, end gracefully, die, and start again at their
- * old address; any of them may be unable to read the rows or to reach another
- * one at any moment.
+ * The answer "not run" while the table is unavailable: an entry gives it for a
+ * submission that it cannot look up in the table. Entries join, stop gracefully,
+ * die, and start again at their old address; any of them may be unable to read the
+ * rows or to reach another one at any moment.
  *
- * Time is abstracted as in submission.pml. What the protocol takes from a time
- * limit is kept: when an entry serves because its row has stood for the stale
- * time, every entry that has not read the rows since then has a view too old
- * to be believed.
+ * Time is abstracted as in submission.pml. One consequence of a time limit is
+ * modelled: when an entry serves because its row has been present for the stale
+ * time, the view of every entry that has not read the rows since then is too old
+ * to be relied on.
  */
 
 #ifndef N
-#define N 3             /* entries; the first one is asked */
+#define N 3             /* entries; the first one answers the lookup */
 #endif
 #ifndef MAX_ENDS
-#define MAX_ENDS 2      /* entries that end, in either way */
+#define MAX_ENDS 2      /* entries that stop or die */
 #endif
 
 #define BIT(e) (1 << (e))
 #define PAIR(e, o) ((e) * N + (o))
 
-#define NONE 0
-#define STANDS 1
+#define ABSENT 0
+#define PRESENT 1
 #define ENDED 2
 
 /* Rows of the table. */
-byte row[N], rowInc[N];
-bool rowReplaced[N];
-byte readSince[N];      /* entries that have read the rows since this one stood, as a mask */
-bool claimed;
+byte row[N], rowIncarnation[N];
+bool isRowReplaced[N];
+byte rowReadBy[N];      /* entries that have read the rows since this one was written, as a mask */
+bool isClaimed;
 
 /* Processes. */
-bool up[N], serving[N], ran[N], announced[N];
-byte inc[N];
+bool isUp[N], isServing[N], hasRunJob[N], isAnnounced[N];
+byte incarnation[N];
 
-/* What a process knows of the others. */
-byte known[N];          /* those not known to have ended, as a mask */
-byte knownInc[N * N];
-bool fresh[N];          /* the last read is younger than the stale time */
-bool endSeen[N];
+/* What a process knows about the others. */
+byte known[N];       /* entries that are not known to have ended, as a mask */
+byte knownIncarnation[N * N];
+bool isViewFresh[N]; /* the last read is less than the stale time ago */
+bool hasSeenEnd[N];
 
-bool everRan;
-bool isOver;            /* the lookup is answered; what comes after does not matter */
-byte ends;
+bool wasRunAnywhere;
+bool isLookupDone;      /* the lookup is answered; later steps do not matter */
+byte endCount;
 
 inline readRows(e, o) {
   for (o : 0 .. N - 1) {
     if
-    :: o == e -> if :: row[e] != NONE && rowInc[e] != inc[e] -> endSeen[e] = true :: else fi
-    :: o != e && row[o] == STANDS ->
+    :: o == e -> if :: row[e] != ABSENT && rowIncarnation[e] != incarnation[e] -> hasSeenEnd[e] = true :: else fi
+    :: o != e && row[o] == PRESENT ->
        if
-       :: (known[e] & BIT(o)) && knownInc[PAIR(e, o)] != rowInc[o] -> endSeen[e] = true
-       :: !(known[e] & BIT(o)) && rowReplaced[o] -> endSeen[e] = true
+       :: (known[e] & BIT(o)) && knownIncarnation[PAIR(e, o)] != rowIncarnation[o] -> hasSeenEnd[e] = true
+       :: !(known[e] & BIT(o)) && isRowReplaced[o] -> hasSeenEnd[e] = true
        :: else
        fi;
        known[e] = known[e] | BIT(o);
-       knownInc[PAIR(e, o)] = rowInc[o]
+       knownIncarnation[PAIR(e, o)] = rowIncarnation[o]
     :: o != e && row[o] == ENDED ->
-       endSeen[e] = true;
+       hasSeenEnd[e] = true;
        known[e] = known[e] & ~BIT(o)
     :: else
     fi;
-    readSince[o] = readSince[o] | BIT(e)
+    rowReadBy[o] = rowReadBy[o] | BIT(e)
   };
-  fresh[e] = true;
+  isViewFresh[e] = true;
   o = 0
 }
 
 proctype Entry(byte e) {
-  byte o, told;
-  bool entered, readAfter;
+  byte o, announcedTo;
+  bool hasRow, hasReadSinceRow;
 
 start:
   atomic {
-    up[e] = true; inc[e]++; known[e] = 0; fresh[e] = false; endSeen[e] = false;
-    serving[e] = false; ran[e] = false; announced[e] = false;
-    told = 0; entered = false; readAfter = false
+    isUp[e] = true; incarnation[e]++; known[e] = 0; isViewFresh[e] = false; hasSeenEnd[e] = false;
+    isServing[e] = false; hasRunJob[e] = false; isAnnounced[e] = false;
+    announcedTo = 0; hasRow = false; hasReadSinceRow = false
   };
   do
-  :: isOver -> break
-  :: atomic { /* the own row */
-       !entered ->
-       rowReplaced[e] = (row[e] != NONE);
-       if :: row[e] != NONE -> endSeen[e] = true :: else fi;
-       row[e] = STANDS; rowInc[e] = inc[e]; readSince[e] = 0; entered = true
+  :: isLookupDone -> break
+  :: atomic { /* writes its own row */
+       !hasRow ->
+       isRowReplaced[e] = (row[e] != ABSENT);
+       if :: row[e] != ABSENT -> hasSeenEnd[e] = true :: else fi;
+       row[e] = PRESENT; rowIncarnation[e] = incarnation[e]; rowReadBy[e] = 0; hasRow = true
      }
   :: atomic {
-       !isOver ->
+       !isLookupDone ->
        readRows(e, o);
 #ifdef NO_READ_AFTER_ROW
-       readAfter = true
+       hasReadSinceRow = true
 #else
-       readAfter = entered
+       hasReadSinceRow = hasRow
 #endif
      }
-  :: atomic { /* tells another entry of itself */
-       entered && !serving[e] && (known[e] & ~told) != 0 ->
+  :: atomic { /* announces itself to another entry */
+       hasRow && !isServing[e] && (known[e] & ~announcedTo) != 0 ->
        if
        :: o = 0
        :: o = 1
@@ -104,73 +104,73 @@
 #endif
        fi;
        if
-       :: (known[e] & ~told & BIT(o)) && up[o] ->
+       :: (known[e] & ~announcedTo & BIT(o)) && isUp[o] ->
           if
-          :: (known[o] & BIT(e)) && knownInc[PAIR(o, e)] != inc[e] -> endSeen[o] = true
-          :: !(known[o] & BIT(e)) && rowReplaced[e] -> endSeen[o] = true
+          :: (known[o] & BIT(e)) && knownIncarnation[PAIR(o, e)] != incarnation[e] -> hasSeenEnd[o] = true
+          :: !(known[o] & BIT(e)) && isRowReplaced[e] -> hasSeenEnd[o] = true
           :: else
           fi;
           known[o] = known[o] | BIT(e);
-          knownInc[PAIR(o, e)] = inc[e];
-          if :: inc[o] == knownInc[PAIR(e, o)] -> told = told | BIT(o) :: else fi
+          knownIncarnation[PAIR(o, e)] = incarnation[e];
+          if :: incarnation[o] == knownIncarnation[PAIR(e, o)] -> announcedTo = announcedTo | BIT(o) :: else fi
        :: else
        fi;
        o = 0
      }
 #ifdef NO_ANNOUNCEMENT
-  :: atomic { entered && !serving[e] -> serving[e] = true; announced[e] = true }
+  :: atomic { hasRow && !isServing[e] -> isServing[e] = true; isAnnounced[e] = true }
 #else
-  :: atomic { entered && readAfter && !serving[e] && (known[e] & ~told) == 0 -> serving[e] = true; announced[e] = true }
-  :: atomic { /* its row has stood for the stale time */
-       entered && readAfter && !serving[e] ->
+  :: atomic { hasRow && hasReadSinceRow && !isServing[e] && (known[e] & ~announcedTo) == 0 -> isServing[e] = true; isAnnounced[e] = true }
+  :: atomic { /* its row has been present for the stale time */
+       hasRow && hasReadSinceRow && !isServing[e] ->
 #ifndef NO_FRESH_VIEW
        for (o : 0 .. N - 1) {
-         if :: o != e && !(readSince[e] & BIT(o)) -> fresh[o] = false :: else fi
+         if :: o != e && !(rowReadBy[e] & BIT(o)) -> isViewFresh[o] = false :: else fi
        };
        o = 0;
 #endif
-       serving[e] = true; announced[e] = true
+       isServing[e] = true; isAnnounced[e] = true
      }
 #endif
-  :: atomic { serving[e] && !claimed -> claimed = true; ran[e] = true; everRan = true }
-  :: atomic { /* a graceful stop; its row shows it, if the table can be written */
-       ends < MAX_ENDS -> ends++; up[e] = false;
+  :: atomic { isServing[e] && !isClaimed -> isClaimed = true; hasRunJob[e] = true; wasRunAnywhere = true }
+  :: atomic { /* a graceful stop, recorded in its row if the table can be written */
+       endCount < MAX_ENDS -> endCount++; isUp[e] = false;
        if
-       :: entered -> row[e] = ENDED
+       :: hasRow -> row[e] = ENDED
        :: true
        fi;
        break
      }
-  :: atomic { ends < MAX_ENDS -> ends++; up[e] = false; break }
+  :: atomic { endCount < MAX_ENDS -> endCount++; isUp[e] = false; break }
   od;
   if
-  :: !isOver -> goto start
+  :: !isLookupDone -> goto start
   :: true
   fi
 }
 
-/* One lookup at any entry, at any time, in as many steps as there are others. */
+/* One lookup at the first entry, at any time, with one step for each other entry. */
 proctype Lookup() {
-  byte y, o, mask, yInc;
-  byte askedInc[N];
-  bool sure, viewSure;
+  byte asked, o, toAsk, askedIncarnation;
+  byte requestedIncarnation[N];
+  bool isNotRun, isViewReliable;
 
 #ifndef NO_END_SEEN
-#define NO_END(e) !endSeen[e]
+#define HAS_SEEN_NO_END(e) !hasSeenEnd[e]
 #else
-#define NO_END(e) true
+#define HAS_SEEN_NO_END(e) true
 #endif
 #ifndef NO_ANNOUNCED_ONLY
-#define IS_ANNOUNCED(e) announced[e]
+#define IS_ANNOUNCED(e) isAnnounced[e]
 #else
 #define IS_ANNOUNCED(e) true
 #endif
-#define VIEW_SURE(e) (fresh[e] && NO_END(e) && IS_ANNOUNCED(e))
+#define IS_VIEW_RELIABLE(e) (isViewFresh[e] && HAS_SEEN_NO_END(e) && IS_ANNOUNCED(e))
 
   atomic {
-    up[y] && everRan ->
-    yInc = inc[y]; mask = known[y]; sure = !ran[y]; viewSure = VIEW_SURE(y);
-    for (o : 0 .. N - 1) { askedInc[o] = knownInc[PAIR(y, o)] };
+    isUp[asked] && wasRunAnywhere ->
+    askedIncarnation = incarnation[asked]; toAsk = known[asked]; isNotRun = !hasRunJob[asked]; isViewReliable = IS_VIEW_RELIABLE(asked);
+    for (o : 0 .. N - 1) { requestedIncarnation[o] = knownIncarnation[PAIR(asked, o)] };
     o = 0
   };
   do
@@ -178,9 +178,9 @@
        o < N ->
        if
 #ifdef NO_INCARNATION
-       :: mask & BIT(o) -> sure = sure && up[o] && !ran[o]
+       :: toAsk & BIT(o) -> isNotRun = isNotRun && isUp[o] && !hasRunJob[o]
 #else
-       :: mask & BIT(o) -> sure = sure && up[o] && inc[o] == askedInc[o] && !ran[o]
+       :: toAsk & BIT(o) -> isNotRun = isNotRun && isUp[o] && incarnation[o] == requestedIncarnation[o] && !hasRunJob[o]
 #endif
        :: else
        fi;
@@ -190,12 +190,12 @@
   od;
   atomic {
 #ifdef NO_VIEW_WITH_LIST
-    /* The view is judged later than the list of entries was taken from it. */
-    viewSure = VIEW_SURE(y);
+    /* The view is checked later than the list of entries was taken from it. */
+    isViewReliable = IS_VIEW_RELIABLE(asked);
 #endif
-    sure = sure && viewSure && up[y] && inc[y] == yInc;
-    assert(!sure);
-    isOver = true
+    isNotRun = isNotRun && isViewReliable && isUp[asked] && incarnation[asked] == askedIncarnation;
+    assert(!isNotRun);
+    isLookupDone = true
   }
 }
 
--- a/model/reader.pml
+++ b/model/reader.pml
@@ -1,86 +1,87 @@
 /*
- * A process that follows the operator's rows while the store is not to be relied
- * upon: reads show rows of any earlier moment, beside the newest version or an
- * old one; watches hear nothing while changes are made; the history is dropped.
- * A row that is only written (the configuration) and one that comes and goes (a
- * zone's); a list of both, told with a version to an agent; another process that
- * reads exactly and tells the same agent. docs/MODEL.md maps the steps to functions.
+ * A process that follows the operator's rows while the store is unreliable: reads
+ * show the rows as they were at any earlier moment, with the newest version or an
+ * old one; watches report nothing although changes were made; the history is dropped.
+ * One row is only ever written (the configuration), another one is written and
+ * removed (a zone's). The process reports a list of both, with a version, to an
+ * agent; another process, whose reads are exact, reports to the same agent.
+ * docs/MODEL.md maps the steps to functions.
  */
 
 #ifndef MAX_VERSION
 #define MAX_VERSION 5
 #endif
-#ifndef MAX_MUTES
-#define MAX_MUTES 2
+#ifndef MAX_MISSED_WATCHES
+#define MAX_MISSED_WATCHES 2
 #endif
 #ifndef MAX_DROPS
 #define MAX_DROPS 1
 #endif
 
-/* The store: its version, and how the rows stood at each. 0 where the zone's row did not stand. */
-byte now = 1;
+/* The store: its version, and the versions of the rows at each; 0 where the zone's row was not present. */
+byte storeVersion = 1;
 byte configAt[MAX_VERSION + 1], zoneAt[MAX_VERSION + 1];
-byte removedAt;                   /* version of the last removal of the zone's row */
-byte floor;                       /* changes up to here are forgotten */
-byte mutes, drops;
+byte removedAt;    /* version of the last removal of the zone's row */
+byte historyFloor; /* changes up to this version are dropped from the history */
+byte missedWatchCount, dropCount;
 
-/* What the process knows: highest versions that it has seen, the zone's row marked when removed. */
-byte config, zone;
-bool isRemoved;
-byte sound;                       /* all changes up to here are known */
-byte base;                        /* changes after this are watched; 0 before a read */
-bool isDoubted;
-byte highest;                     /* configuration that was in force */
+/* What the process knows: the highest versions that it has seen, and whether the zone's row was removed at its version. */
+byte configVersion, zoneVersion;
+bool isZoneRemoved;
+byte completeUpTo;   /* all changes up to this version are known */
+byte watchedFrom;    /* changes after this version are watched; 0 before a read */
+bool isUnconfirmed;
+byte highestInForce; /* the highest configuration that was in force */
 
-/* What the agent has: claims count two for each version of the store, the even ones exact. */
-byte claim, hasConfig;
-bool hasZone;
+/* What the agent has. There are two list versions for each version of the store; the even one is exact. */
+byte listVersion, listConfig;
+bool listHasZone;
 
-#define STANDS (zone > 0 && !isRemoved)
-#define EXACT(v) (2 * (v) + 2)
+#define IS_ZONE_PRESENT (zoneVersion > 0 && !isZoneRemoved)
+#define EXACT_VERSION(v) (2 * (v) + 2)
 
-/* What may be stale claims no more than the newest row of the list, nor than what is known without a gap. */
-inline tellStale(told) {
+/* Reports a list that may be stale: its version is no higher than the newest row of the list or than the version up to which all changes are known. */
+inline reportStale(reportedVersion) {
 #ifdef NO_CLAIM_OF_ITS_OWN
-  mine = EXACT(told);
+  staleVersion = EXACT_VERSION(reportedVersion);
 #else
-  mine = config;
+  staleVersion = configVersion;
   if
-  :: STANDS && zone > mine -> mine = zone
+  :: IS_ZONE_PRESENT && zoneVersion > staleVersion -> staleVersion = zoneVersion
   :: else
   fi;
 #ifndef NO_GAP_CLAIM
   if
-  :: sound < mine -> mine = sound
+  :: completeUpTo < staleVersion -> staleVersion = completeUpTo
   :: else
   fi;
 #endif
-  mine = 2 * mine + 1;
+  staleVersion = 2 * staleVersion + 1;
 #endif
-  tell(mine, config, STANDS);
-  mine = 0
+  reportList(staleVersion, configVersion, IS_ZONE_PRESENT);
+  staleVersion = 0
 }
 
-/* The agent takes a list, which takes the place of an exact one only if no row of it is older. */
-inline tell(itsClaim, itsConfig, itsZone) {
+/* The agent adopts a list if its version is higher. One that replaces an exact list must have no older row. */
+inline reportList(newVersion, newConfig, newHasZone) {
   if
-  :: itsClaim > claim ->
+  :: newVersion > listVersion ->
      if
-     :: claim >= 4 && claim % 2 == 0 ->
-        /* Each row as it stood then or later. */
-        assert(itsConfig >= configAt[(claim - 2) / 2]);
-        v = (claim - 2) / 2;
+     :: listVersion >= 4 && listVersion % 2 == 0 ->
+        /* Each row is as it was at the version of the exact list or later. */
+        assert(newConfig >= configAt[(listVersion - 2) / 2]);
+        v = (listVersion - 2) / 2;
         do
-        :: v <= now && (zoneAt[v] != 0) != itsZone -> v++
+        :: v <= storeVersion && (zoneAt[v] != 0) != newHasZone -> v++
         :: else -> break
         od;
-        assert(v <= now);
+        assert(v <= storeVersion);
         v = 0
      :: else
      fi;
-     claim = itsClaim;
-     hasConfig = itsConfig;
-     hasZone = itsZone
+     listVersion = newVersion;
+     listConfig = newConfig;
+     listHasZone = newHasZone
   :: else
   fi
 }
@@ -88,39 +89,39 @@
 inline applyConfig(version) {
   if
 #ifdef NO_NEWER_ONLY
-  :: version != config && version > 0 -> config = version
+  :: version != configVersion && version > 0 -> configVersion = version
 #else
-  :: version > config -> config = version
+  :: version > configVersion -> configVersion = version
 #endif
   :: else
   fi;
-  assert(config >= highest);
-  highest = config
+  assert(configVersion >= highestInForce);
+  highestInForce = configVersion
 }
 
 inline applyZone(version) {
   if
-  :: version > zone -> zone = version; isRemoved = false
+  :: version > zoneVersion -> zoneVersion = version; isZoneRemoved = false
   :: else
   fi
 }
 
-/* The row goes: the one that is known must not stand any more. */
-inline remove() {
-  assert(zoneAt[now] != zone);
-  isRemoved = true
+/* Marks the zone's row as removed; the row that is known must not be present in the store any more. */
+inline removeZone() {
+  assert(zoneAt[storeVersion] != zoneVersion);
+  isZoneRemoved = true
 }
 
-/* Whoever does not doubt what it knows knows all as it stood at the version from which it watches, or later. */
-inline checkTrust() {
+/* A process whose knowledge is not marked as unconfirmed knows all rows as they were at the version from which it watches, or later. */
+inline checkConfirmed() {
   if
-  :: !isDoubted && base > 0 ->
-     v = base;
+  :: !isUnconfirmed && watchedFrom > 0 ->
+     v = watchedFrom;
      do
-     :: v <= now && !(config == configAt[v] && zoneAt[v] == (STANDS -> zone : 0)) -> v++
+     :: v <= storeVersion && !(configVersion == configAt[v] && zoneAt[v] == (IS_ZONE_PRESENT -> zoneVersion : 0)) -> v++
      :: else -> break
      od;
-     assert(v <= now);
+     assert(v <= storeVersion);
      v = 0
   :: else
   fi
@@ -129,185 +130,185 @@
 proctype Operator() {
   do
   :: atomic {
-       now < MAX_VERSION -> now++;
-       configAt[now] = now; zoneAt[now] = zoneAt[now - 1]
+       storeVersion < MAX_VERSION -> storeVersion++;
+       configAt[storeVersion] = storeVersion; zoneAt[storeVersion] = zoneAt[storeVersion - 1]
      }
   :: atomic {
-       now < MAX_VERSION -> now++;
-       configAt[now] = configAt[now - 1];
+       storeVersion < MAX_VERSION -> storeVersion++;
+       configAt[storeVersion] = configAt[storeVersion - 1];
        if
-       :: zoneAt[now - 1] == 0 -> zoneAt[now] = now
-       :: zoneAt[now - 1] != 0 -> zoneAt[now] = now
-       :: zoneAt[now - 1] != 0 -> zoneAt[now] = 0; removedAt = now
+       :: zoneAt[storeVersion - 1] == 0 -> zoneAt[storeVersion] = storeVersion
+       :: zoneAt[storeVersion - 1] != 0 -> zoneAt[storeVersion] = storeVersion
+       :: zoneAt[storeVersion - 1] != 0 -> zoneAt[storeVersion] = 0; removedAt = storeVersion
        fi
      }
-  /* Something in another table. */
-  :: atomic { now < MAX_VERSION -> now++; configAt[now] = configAt[now - 1]; zoneAt[now] = zoneAt[now - 1] }
-  :: atomic { drops < MAX_DROPS -> drops++; floor = now }
+  /* A change in another table. */
+  :: atomic { storeVersion < MAX_VERSION -> storeVersion++; configAt[storeVersion] = configAt[storeVersion - 1]; zoneAt[storeVersion] = zoneAt[storeVersion - 1] }
+  :: atomic { dropCount < MAX_DROPS -> dropCount++; historyFloor = storeVersion }
   od
 }
 
 proctype Process() {
-  byte seen, told, v, mine;       /* moment that an answer shows, version that it tells */
-  bool isAbsent;                  /* a condition did not show the zone's row */
-  bool holds, showsConfig, showsZone;
+  byte shownVersion, reportedVersion, v, staleVersion; /* the moment that an answer shows, and the version that it reports */
+  bool isZoneMissing;                                  /* the answer to a failed condition did not show the zone's row */
+  bool isConditionMet, showsConfig, showsZone;
 
   do
-  /* A read: answered as of any moment so far, with that moment's version or the newest one. */
-  :: base == 0 ->
+  /* A read: answered as of any earlier moment, with the version of that moment or the newest one. */
+  :: watchedFrom == 0 ->
      atomic {
-       seen = 1;
+       shownVersion = 1;
        do
-       :: seen < now -> seen++
+       :: shownVersion < storeVersion -> shownVersion++
        :: break
        od;
        if
-       :: told = now
-       :: told = seen
+       :: reportedVersion = storeVersion
+       :: reportedVersion = shownVersion
        fi
      };
      atomic {
-       applyConfig(configAt[seen]);
-       applyZone(zoneAt[seen]);
+       applyConfig(configAt[shownVersion]);
+       applyZone(zoneAt[shownVersion]);
 #ifdef NO_PROOF_OF_REMOVAL
        if
-       :: zoneAt[seen] == 0 && STANDS -> remove()
+       :: zoneAt[shownVersion] == 0 && IS_ZONE_PRESENT -> removeZone()
        :: else
        fi;
 #endif
-       base = told;
+       watchedFrom = reportedVersion;
 #ifndef NO_DOUBT_OF_READS
-       isDoubted = true;
+       isUnconfirmed = true;
 #endif
-       /* The moment that it shows is no earlier than its newest row; a row that it lacks may be gone by then. */
+       /* The moment that the answer shows is no earlier than its newest row; a row that it lacks may have been removed by then. */
        if
 #ifdef NO_MISSING_CHECK
        :: true ->
 #else
-       :: !STANDS || zoneAt[seen] > 0 ->
+       :: !IS_ZONE_PRESENT || zoneAt[shownVersion] > 0 ->
 #endif
           if
-          :: configAt[seen] > sound -> sound = configAt[seen]
+          :: configAt[shownVersion] > completeUpTo -> completeUpTo = configAt[shownVersion]
           :: else
           fi;
           if
-          :: zoneAt[seen] > sound -> sound = zoneAt[seen]
+          :: zoneAt[shownVersion] > completeUpTo -> completeUpTo = zoneAt[shownVersion]
           :: else
           fi
        :: else
        fi;
-       tellStale(told);
-       checkTrust();
-       seen = 0; told = 0
+       reportStale(reportedVersion);
+       checkConfirmed();
+       shownVersion = 0; reportedVersion = 0
      }
-  /* Conditions: compared at one moment, the answer is taken in later. */
-  :: isDoubted ->
+  /* Confirmation by conditions: they are compared at one moment, and the answer is processed later. */
+  :: isUnconfirmed ->
 #ifdef NO_CONDITIONS
-     /* Another read instead. */
+     /* Confirms by another read instead. */
      atomic {
-       seen = 1;
+       shownVersion = 1;
        do
-       :: seen < now -> seen++
+       :: shownVersion < storeVersion -> shownVersion++
        :: break
        od
      };
      atomic {
-       applyConfig(configAt[seen]);
-       applyZone(zoneAt[seen]);
-       isDoubted = false;
-       checkTrust();
-       seen = 0
+       applyConfig(configAt[shownVersion]);
+       applyZone(zoneAt[shownVersion]);
+       isUnconfirmed = false;
+       checkConfirmed();
+       shownVersion = 0
      }
 #else
      atomic {
-       seen = now;
-       holds = (configAt[now] == config && zoneAt[now] == ((STANDS && !isAbsent) -> zone : 0));
-       /* The pages leave open whether rows that stand as expected are shown as well. */
+       shownVersion = storeVersion;
+       isConditionMet = (configAt[storeVersion] == configVersion && zoneAt[storeVersion] == ((IS_ZONE_PRESENT && !isZoneMissing) -> zoneVersion : 0));
+       /* The store's documentation does not say whether an answer also shows rows that are as expected. */
        if
-       :: showsConfig = true; showsZone = (zoneAt[now] != 0)
-       :: showsConfig = (configAt[now] != config); showsZone = (zoneAt[now] != 0 && zoneAt[now] != ((STANDS && !isAbsent) -> zone : 0))
+       :: showsConfig = true; showsZone = (zoneAt[storeVersion] != 0)
+       :: showsConfig = (configAt[storeVersion] != configVersion); showsZone = (zoneAt[storeVersion] != 0 && zoneAt[storeVersion] != ((IS_ZONE_PRESENT && !isZoneMissing) -> zoneVersion : 0))
        fi
      };
      atomic {
        if
-       :: holds ->
+       :: isConditionMet ->
           if
-          :: isAbsent && STANDS -> remove()
+          :: isZoneMissing && IS_ZONE_PRESENT -> removeZone()
           :: else
           fi;
-          isAbsent = false;
-          isDoubted = false;
-          assert(STANDS == (zoneAt[seen] != 0));
-          sound = seen;
-          tell(EXACT(seen), config, STANDS);
-          checkTrust()
+          isZoneMissing = false;
+          isUnconfirmed = false;
+          assert(IS_ZONE_PRESENT == (zoneAt[shownVersion] != 0));
+          completeUpTo = shownVersion;
+          reportList(EXACT_VERSION(shownVersion), configVersion, IS_ZONE_PRESENT);
+          checkConfirmed()
        :: else ->
           if
-          :: showsConfig -> applyConfig(configAt[seen])
+          :: showsConfig -> applyConfig(configAt[shownVersion])
           :: else
           fi;
           if
-          :: showsZone -> applyZone(zoneAt[seen]); isAbsent = false
-          :: !showsZone && STANDS ->
+          :: showsZone -> applyZone(zoneAt[shownVersion]); isZoneMissing = false
+          :: !showsZone && IS_ZONE_PRESENT ->
 #ifdef NO_SECOND_CONDITION
-             remove()
+             removeZone()
 #else
-             isAbsent = true
+             isZoneMissing = true
 #endif
           :: else
           fi
        fi;
-       holds = false; showsConfig = false; showsZone = false; seen = 0
+       isConditionMet = false; showsConfig = false; showsZone = false; shownVersion = 0
      }
 #endif
-  /* A watch: hears what changed, or nothing, or that it is forgotten. */
-  :: base > 0 ->
+  /* A watch: it reports what changed, or nothing, or that the history was dropped. */
+  :: watchedFrom > 0 ->
      atomic {
        if
-       :: base < floor -> base = 0; isDoubted = true
-       :: base >= floor && mutes < MAX_MUTES && now > base ->
-          mutes++;
-          base = now;
+       :: watchedFrom < historyFloor -> watchedFrom = 0; isUnconfirmed = true
+       :: watchedFrom >= historyFloor && missedWatchCount < MAX_MISSED_WATCHES && storeVersion > watchedFrom ->
+          missedWatchCount++;
+          watchedFrom = storeVersion;
 #ifndef NO_DOUBT_OF_SILENCE
-          isDoubted = true;
+          isUnconfirmed = true;
 #endif
-          checkTrust()
-       :: base >= floor ->
-          seen = base;
-          base = now;
+          checkConfirmed()
+       :: watchedFrom >= historyFloor ->
+          shownVersion = watchedFrom;
+          watchedFrom = storeVersion;
           if
-          :: configAt[now] > seen -> applyConfig(configAt[now])
+          :: configAt[storeVersion] > shownVersion -> applyConfig(configAt[storeVersion])
           :: else
           fi;
           if
-          :: zoneAt[now] > seen -> applyZone(zoneAt[now])
-          :: zoneAt[now] == 0 && removedAt > seen && removedAt > zone -> zone = removedAt; isRemoved = true
+          :: zoneAt[storeVersion] > shownVersion -> applyZone(zoneAt[storeVersion])
+          :: zoneAt[storeVersion] == 0 && removedAt > shownVersion && removedAt > zoneVersion -> zoneVersion = removedAt; isZoneRemoved = true
           :: else
           fi;
-          isAbsent = false;
+          isZoneMissing = false;
           if
-          :: seen < now && !isDoubted -> sound = now; tell(EXACT(now), config, STANDS)
-          :: seen < now && isDoubted -> tellStale(now)
+          :: shownVersion < storeVersion && !isUnconfirmed -> completeUpTo = storeVersion; reportList(EXACT_VERSION(storeVersion), configVersion, IS_ZONE_PRESENT)
+          :: shownVersion < storeVersion && isUnconfirmed -> reportStale(storeVersion)
           :: else
           fi;
-          checkTrust();
-          seen = 0
+          checkConfirmed();
+          shownVersion = 0
        fi
      }
   od
 }
 
-/* Another process reads exactly and tells the agent. */
-proctype Exact() {
+/* Another process, whose reads are exact, reports to the agent. */
+proctype ExactReader() {
   byte v;
   do
-  :: atomic { EXACT(now) > claim -> tell(EXACT(now), configAt[now], (zoneAt[now] != 0)) }
+  :: atomic { EXACT_VERSION(storeVersion) > listVersion -> reportList(EXACT_VERSION(storeVersion), configAt[storeVersion], (zoneAt[storeVersion] != 0)) }
   od
 }
 
 init {
   atomic {
     configAt[1] = 1;
-    run Operator(); run Process(); run Exact()
+    run Operator(); run Process(); run ExactReader()
   }
 }
