--- a/model/submission.pml
+++ b/model/submission.pml
@@ -1,12 +1,12 @@
 /*
  * One submission at two entries and two agents.
  *
- * Time is abstracted: whatever depends on a time limit may happen at any
- * moment, as early or late as it likes. So a live owner may be taken for lost
- * at any time, which covers an owner that is paused and wakes.
+ * Time is abstracted: whatever depends on a time limit may happen at any moment,
+ * early or late. So a live owner may be considered lost at any time, which covers
+ * an owner that is suspended and resumes.
  *
  * Each guard of the protocol can be removed with -DNO_<GUARD>; the check then
- * demands a counter-example. docs/MODEL.md maps the steps to functions.
+ * requires a counterexample. docs/MODEL.md maps the steps to functions.
  */
 
 #ifndef NT
@@ -17,15 +17,15 @@
 #define NA 2            /* agents */
 #endif
 
-/* Budgets of what may happen; a run is exhaustive within them. */
+/* Bounds on the number of events; a search is exhaustive within them. */
 #ifndef MAX_NONCE
-#define MAX_NONCE 3     /* claims and takeovers tried */
+#define MAX_NONCE 3     /* attempted claims and takeovers */
 #endif
 #ifndef MAX_LOST_ACKS
-#define MAX_LOST_ACKS 1 /* acknowledgements lost or writes held up */
+#define MAX_LOST_ACKS 1 /* lost acknowledgements or delayed writes */
 #endif
 #ifndef MAX_CUTS
-#define MAX_CUTS 1      /* connections broken */
+#define MAX_CUTS 1      /* broken connections */
 #endif
 #ifndef MAX_DEATHS
 #define MAX_DEATHS 1    /* entries that die */
@@ -34,7 +34,7 @@
 #define MAX_AGENT_DEATHS 1
 #endif
 #ifndef MAX_FORGETS
-#define MAX_FORGETS 1   /* agents whose memory's time is over */
+#define MAX_FORGETS 1   /* times that an agent forgets, at the end of its retention time */
 #endif
 
 #define COMPLETE 1
@@ -46,13 +46,13 @@
 #define UNKNOWN 3
 
 #if NT > 1
-#define ANY_QUEUED (state[0] == QUEUED || state[1] == QUEUED)
-#define ALL_QUEUED (state[0] == QUEUED && state[1] == QUEUED)
-#define ALL_DONE (state[0] == DONE && state[1] == DONE)
+#define ANY_QUEUED (taskState[0] == QUEUED || taskState[1] == QUEUED)
+#define ALL_QUEUED (taskState[0] == QUEUED && taskState[1] == QUEUED)
+#define ALL_DONE (taskState[0] == DONE && taskState[1] == DONE)
 #else
-#define ANY_QUEUED (state[0] == QUEUED)
-#define ALL_QUEUED (state[0] == QUEUED)
-#define ALL_DONE (state[0] == DONE)
+#define ANY_QUEUED (taskState[0] == QUEUED)
+#define ALL_QUEUED (taskState[0] == QUEUED)
+#define ALL_DONE (taskState[0] == DONE)
 #endif
 
 mtype = { START, COLLECT, RESULT, NOT_STARTED, TAKEN_OVER, COLLECTED };
@@ -60,21 +60,21 @@
 /* The claim row. */
 byte rowNonce, rowOwner, rowVersion, rowAnswer;
 
-/* A write that was held up on its way to the table, by entry. */
-bool late[NE];
-byte lateNonce[NE], lateVersion[NE];
+/* A write that reaches the table late, by entry. */
+bool isWriteDelayed[NE];
+byte delayedNonce[NE], delayedVersion[NE];
 
 byte nextNonce = 1;
-bool released[MAX_NONCE + 1];     /* given up before anything started */
-bool saidNotRun[MAX_NONCE + 1];   /* a caller was told "not run" of this claim */
-bool dead[NE];
+bool isReleased[MAX_NONCE + 1];     /* given up before anything was started */
+bool notRunReported[MAX_NONCE + 1]; /* "not run" was reported to a caller for this claim */
+bool isDead[NE];
 
-/* Frames in flight: type, task, nonce of the claim (for the check only). */
+/* Frames in flight: type, task, nonce of the claim (only for the assertions). */
 chan toAgent0 = [2] of { mtype, byte, byte };
 chan toAgent1 = [2] of { mtype, byte, byte };
 chan toAgent2 = [2] of { mtype, byte, byte };
 chan toAgent3 = [2] of { mtype, byte, byte };
-/* type, task or mask of tasks running, mask of tasks done. */
+/* type, task or mask of the running tasks, mask of the tasks that are done. */
 chan toEntry0 = [4] of { mtype, byte, byte };
 chan toEntry1 = [4] of { mtype, byte, byte };
 chan toEntry2 = [4] of { mtype, byte, byte };
@@ -83,81 +83,81 @@
 chan toEntry[NE * NA];
 
 #define LINK(e, a) ((e) * NA + (a))
-/* A session of a new process says so before it says what it holds. */
-#define RESUMED(a) (resumed[LINK(e, a)] && !lost[LINK(e, a)])
-
-/* What the next session of a pair says, before anything else is sent on it. */
-bool resumed[NE * NA];   /* a resume waits to be read */
-byte held[NE * NA];      /* tasks that the agent holds, as a mask */
-bool lost[NE * NA];      /* the agent's process is a new one */
-bool expired[NE * NA];   /* the agent may have forgotten: the resume window is over */
-bool stale[NE * NA];     /* starts in flight carry a stamp that is too old */
-
-/* An agent's memory. */
-byte begun[NA];          /* tasks started, as a mask */
-byte ended[NA];          /* tasks finished, as a mask */
-bool revoked[NA];
-byte collector[NA];      /* entry + 1 */
-byte origin[NA];         /* entry + 1 that sent the starts */
-
-/* What the endpoints saw, and what callers were told. */
-byte starts[NT];
-bool done[NT];
-byte toldFinal;
-bool answeredTakeover;   /* a takeover was answered that reached agent ... */
-bool reached[NA];
-bool usedAgent0;
-bool overdue;             /* the deadline of the first owner's job is over */
-
-byte cuts, deaths, agentDeaths, forgets, lostAcks;
+/* A session of a new agent process reports the new incarnation before it reports its tasks. */
+#define IS_RESUME_READABLE(a) (isResumePending[LINK(e, a)] && !isNewIncarnation[LINK(e, a)])
+
+/* What the next session of a pair reports before anything else is sent on it. */
+bool isResumePending[NE * NA];    /* a resume has not been read yet */
+byte agentTasks[NE * NA];         /* tasks that the agent has, as a mask */
+bool isNewIncarnation[NE * NA];   /* the agent's process is a new one, and the entry does not know yet */
+bool isResumeWindowOver[NE * NA]; /* the resume window is over, and the agent may have forgotten its tasks */
+bool isInFlightStale[NE * NA];    /* starts in flight carry a timestamp that is too old */
+
+/* What an agent remembers. */
+byte startedTasks[NA];  /* tasks started, as a mask */
+byte finishedTasks[NA]; /* tasks finished, as a mask */
+bool isRevoked[NA];
+byte collector[NA];     /* entry + 1 */
+byte starter[NA];       /* entry + 1 that sent the starts */
+
+/* What ran at the endpoints, and what was reported to callers. */
+byte startCount[NT];
+bool isDone[NT];
+byte reportedAnswer;
+bool isTakeoverAnswered; /* a takeover was answered; its collect reached the agents of wasReached */
+bool wasReached[NA];
+bool isAgent0Used;
+bool isDeadlineOver;     /* the deadline of the first owner's job has passed */
+
+byte cutCount, entryDeathCount, agentDeathCount, forgetCount, lostAckCount;
 
 #define BIT(t) (1 << (t))
 
-inline tellFinal(answer) {
-  assert(toldFinal == 0 || toldFinal == answer);
-  toldFinal = answer;
+inline reportFinal(answer) {
+  assert(reportedAnswer == 0 || reportedAnswer == answer);
+  reportedAnswer = answer;
   if
   :: answer == COMPLETE ->
-     byte k;
-     for (k : 0 .. NT - 1) { assert(done[k]) }
+     byte task;
+     for (task : 0 .. NT - 1) { assert(isDone[task]) }
   :: else
   fi
 }
 
-inline tellNotRun(nonce) {
-  saidNotRun[nonce] = true
+inline reportNotRun(nonce) {
+  notRunReported[nonce] = true
 }
 
-inline beginTask(t, nonce, a) {
-  starts[t]++;
-  assert(starts[t] <= 1);
-  assert(!saidNotRun[nonce]);
-  assert(!(answeredTakeover && reached[a]));
-  begun[a] = begun[a] | BIT(t)
+inline startTask(t, nonce, a) {
+  startCount[t]++;
+  assert(startCount[t] <= 1);
+  assert(!notRunReported[nonce]);
+  assert(!(isTakeoverAnswered && wasReached[a]));
+  startedTasks[a] = startedTasks[a] | BIT(t)
 }
 
-/* Empties the frames of a pair: its connection is gone. */
-inline drain(l) {
+/* Drops the frames of a pair whose connection is broken. */
+inline dropFrames(link) {
   do
-  :: nempty(toEntry[l]) -> toEntry[l]?_, _, _
-  :: empty(toEntry[l]) -> break
+  :: nempty(toEntry[link]) -> toEntry[link]?_, _, _
+  :: empty(toEntry[link]) -> break
   od;
 #ifndef NO_SESSION_FENCE
   do
-  :: nempty(toAgent[l]) -> toAgent[l]?_, _, _
-  :: empty(toAgent[l]) -> break
+  :: nempty(toAgent[link]) -> toAgent[link]?_, _, _
+  :: empty(toAgent[link]) -> break
   od
 #endif
 }
 
-/* The agent opens a new session: it says what it holds and repeats its results. */
-inline resume(e, a, t) {
-  resumed[LINK(e, a)] = true;
-  held[LINK(e, a)] = begun[a];
+/* The agent opens a new session: it reports its tasks and sends its results again. */
+inline openSession(e, a, t) {
+  isResumePending[LINK(e, a)] = true;
+  agentTasks[LINK(e, a)] = startedTasks[a];
   for (t : 0 .. NT - 1) {
     if
-    :: (ended[a] & BIT(t)) && (collector[a] == 0 || collector[a] == e + 1) -> toEntry[LINK(e, a)]!RESULT, t, 0
-    :: (begun[a] & BIT(t)) && collector[a] != 0 && collector[a] != e + 1 -> toEntry[LINK(e, a)]!TAKEN_OVER, t, 0
+    :: (finishedTasks[a] & BIT(t)) && (collector[a] == 0 || collector[a] == e + 1) -> toEntry[LINK(e, a)]!RESULT, t, 0
+    :: (startedTasks[a] & BIT(t)) && collector[a] != 0 && collector[a] != e + 1 -> toEntry[LINK(e, a)]!TAKEN_OVER, t, 0
     :: else
     fi
   }
@@ -166,9 +166,9 @@
 proctype Network() {
   byte e, a, t;
   do
-  /* A connection breaks and is made again. */
-  :: cuts < MAX_CUTS -> atomic {
-       cuts++;
+  /* A connection breaks and is opened again. */
+  :: cutCount < MAX_CUTS -> atomic {
+       cutCount++;
        if :: e = 0 :: e = 1 fi;
        a = 0;
 #if NA > 1
@@ -177,17 +177,17 @@
 #ifdef ONE_ENTRY
        e = 0;
 #endif
-       drain(LINK(e, a));
-       resume(e, a, t);
+       dropFrames(LINK(e, a));
+       openSession(e, a, t);
        e = 0; a = 0; t = 0
      }
-  /* A write that was held up lands. */
-  :: late[0] || late[1] -> atomic {
-       if :: late[0] -> e = 0 :: late[1] -> e = 1 fi;
-       late[e] = false;
+  /* A delayed write reaches the table. */
+  :: isWriteDelayed[0] || isWriteDelayed[1] -> atomic {
+       if :: isWriteDelayed[0] -> e = 0 :: isWriteDelayed[1] -> e = 1 fi;
+       isWriteDelayed[e] = false;
        if
-       :: rowVersion == lateVersion[e] && rowAnswer == 0 ->
-          rowVersion++; rowNonce = lateNonce[e]; rowOwner = e + 1
+       :: rowVersion == delayedVersion[e] && rowAnswer == 0 ->
+          rowVersion++; rowNonce = delayedNonce[e]; rowOwner = e + 1
        :: else
        fi;
        e = 0
@@ -196,87 +196,87 @@
 }
 
 proctype Agent(byte a) {
-  byte e, t, nonce, l;
+  byte e, t, nonce, link;
   do
   :: atomic {
-       if :: e = 0; l = LINK(0, a) :: e = 1; l = LINK(1, a) fi;
-       nempty(toAgent[l]) ->
+       if :: e = 0; link = LINK(0, a) :: e = 1; link = LINK(1, a) fi;
+       nempty(toAgent[link]) ->
        if
-       :: toAgent[l]?START, t, nonce ->
+       :: toAgent[link]?START, t, nonce ->
           if
-          :: revoked[a] ->
+          :: isRevoked[a] ->
              if
-             :: collector[a] != 0 && collector[a] != e + 1 -> toEntry[l]!TAKEN_OVER, t, 0
-             :: else -> toEntry[l]!NOT_STARTED, t, 0
+             :: collector[a] != 0 && collector[a] != e + 1 -> toEntry[link]!TAKEN_OVER, t, 0
+             :: else -> toEntry[link]!NOT_STARTED, t, 0
              fi
 #ifndef NO_STAMP_CHECK
-          :: !revoked[a] && stale[l] -> toEntry[l]!NOT_STARTED, t, 0
-          :: !revoked[a] && !stale[l] ->
+          :: !isRevoked[a] && isInFlightStale[link] -> toEntry[link]!NOT_STARTED, t, 0
+          :: !isRevoked[a] && !isInFlightStale[link] ->
 #else
-          :: !revoked[a] ->
+          :: !isRevoked[a] ->
 #endif
              if
-             :: begun[a] & BIT(t)
-             :: else -> origin[a] = e + 1; beginTask(t, nonce, a)
+             :: startedTasks[a] & BIT(t)
+             :: else -> starter[a] = e + 1; startTask(t, nonce, a)
              fi
           fi
-       :: toAgent[l]?COLLECT, t, nonce ->
+       :: toAgent[link]?COLLECT, t, nonce ->
 #ifndef NO_COLLECT_REVOKES
-          revoked[a] = true;
+          isRevoked[a] = true;
 #endif
           collector[a] = e + 1;
-          reached[a] = true;
-          toEntry[l]!COLLECTED, begun[a] & ~ended[a], ended[a];
+          wasReached[a] = true;
+          toEntry[link]!COLLECTED, startedTasks[a] & ~finishedTasks[a], finishedTasks[a];
           if
-          :: origin[a] != 0 && origin[a] != e + 1 && len(toEntry[LINK(origin[a] - 1, a)]) < 4 ->
-             toEntry[LINK(origin[a] - 1, a)]!TAKEN_OVER, 0, 0
+          :: starter[a] != 0 && starter[a] != e + 1 && len(toEntry[LINK(starter[a] - 1, a)]) < 4 ->
+             toEntry[LINK(starter[a] - 1, a)]!TAKEN_OVER, 0, 0
           :: else
           fi
        fi;
-       if :: len(toAgent[l]) == 0 -> stale[l] = false :: else fi;
-       t = 0; nonce = 0; l = 0; e = 0
+       if :: len(toAgent[link]) == 0 -> isInFlightStale[link] = false :: else fi;
+       t = 0; nonce = 0; link = 0; e = 0
      }
   /* A task ends. */
   :: atomic {
-       (begun[a] & ~ended[a]) != 0 ->
+       (startedTasks[a] & ~finishedTasks[a]) != 0 ->
        if
-       :: (begun[a] & ~ended[a]) & 1 -> t = 0
+       :: (startedTasks[a] & ~finishedTasks[a]) & 1 -> t = 0
 #if NT > 1
-       :: (begun[a] & ~ended[a]) & 2 -> t = 1
+       :: (startedTasks[a] & ~finishedTasks[a]) & 2 -> t = 1
 #endif
        fi;
-       ended[a] = ended[a] | BIT(t);
-       done[t] = true;
-       e = (collector[a] != 0 -> collector[a] - 1 : origin[a] - 1);
+       finishedTasks[a] = finishedTasks[a] | BIT(t);
+       isDone[t] = true;
+       e = (collector[a] != 0 -> collector[a] - 1 : starter[a] - 1);
        if :: len(toEntry[LINK(e, a)]) < 4 -> toEntry[LINK(e, a)]!RESULT, t, 0 :: else fi;
        t = 0; e = 0
      }
-  /* The memory's time is over: all that was in flight then is stale, and no resume window is open. */
+  /* The agent's retention time is over: all that is in flight by then is stale, and no resume window is open. */
   :: atomic {
-       forgets < MAX_FORGETS && begun[a] == ended[a] && (begun[a] != 0 || revoked[a]) ->
-       forgets++;
+       forgetCount < MAX_FORGETS && startedTasks[a] == finishedTasks[a] && (startedTasks[a] != 0 || isRevoked[a]) ->
+       forgetCount++;
 #ifndef NO_KEEP_REVOKES
-       /* A revoke is kept for as long as the claim's deadline: its first owner starts nothing after that. */
-       if :: revoked[a] -> overdue = true :: else fi;
+       /* A revoke is kept until the claim's deadline; the first owner starts nothing after that. */
+       if :: isRevoked[a] -> isDeadlineOver = true :: else fi;
 #endif
-       begun[a] = 0; ended[a] = 0; revoked[a] = false; collector[a] = 0; origin[a] = 0;
+       startedTasks[a] = 0; finishedTasks[a] = 0; isRevoked[a] = false; collector[a] = 0; starter[a] = 0;
        for (e : 0 .. NE - 1) {
-         expired[LINK(e, a)] = true;
-         if :: len(toAgent[LINK(e, a)]) > 0 -> stale[LINK(e, a)] = true :: else fi
+         isResumeWindowOver[LINK(e, a)] = true;
+         if :: len(toAgent[LINK(e, a)]) > 0 -> isInFlightStale[LINK(e, a)] = true :: else fi
        }
        e = 0
      }
-  /* The process dies; another one takes its place and remembers nothing. */
+  /* The process dies; a new process without its memory replaces it. */
   :: atomic {
-       agentDeaths < MAX_AGENT_DEATHS ->
-       agentDeaths++;
-       begun[a] = 0; ended[a] = 0; revoked[a] = false; collector[a] = 0; origin[a] = 0; reached[a] = false;
+       agentDeathCount < MAX_AGENT_DEATHS ->
+       agentDeathCount++;
+       startedTasks[a] = 0; finishedTasks[a] = 0; isRevoked[a] = false; collector[a] = 0; starter[a] = 0; wasReached[a] = false;
        for (e : 0 .. NE - 1) {
-         drain(LINK(e, a));
+         dropFrames(LINK(e, a));
 #ifdef NO_INCARNATION
-         resumed[LINK(e, a)] = true; held[LINK(e, a)] = 0
+         isResumePending[LINK(e, a)] = true; agentTasks[LINK(e, a)] = 0
 #else
-         lost[LINK(e, a)] = true
+         isNewIncarnation[LINK(e, a)] = true
 #endif
        }
        e = 0
@@ -285,30 +285,30 @@
 }
 
 proctype Entry(byte e) {
-  byte nonce, version, answer;     /* of the claim that this entry holds or follows */
+  byte nonce, version, answer; /* of the claim that this entry owns or follows */
   byte seenNonce, seenOwner, seenVersion;
-  byte state[NT];
-  byte at[NT];                     /* agent that a task was sent to */
-  byte a, t, mask, endMask;
-  byte waiting;                    /* agents that have not answered a collect, as a mask */
-  bool fresh;                      /* the job's tasks may be started */
-  bool asked;                      /* agents were asked to collect */
+  byte taskState[NT];
+  byte sentTo[NT];             /* the agent that a task was sent to */
+  byte a, t, taskMask, doneMask;
+  byte collectsPending;        /* agents that have not answered a collect, as a mask */
+  bool mayStart;               /* the job's tasks may be started */
+  bool hasAskedToCollect;      /* a collect was sent to the agents */
   bool inDoubt;
-  byte tries;
+  byte submissionCount;
 
 idle:
   /* The caller submits here, for the first time or again. */
   if
   :: atomic {
-       nextNonce <= MAX_NONCE && tries < 2 ->
-       tries++; nonce = nextNonce; nextNonce++; inDoubt = false; version = 0; fresh = true
+       nextNonce <= MAX_NONCE && submissionCount < 2 ->
+       submissionCount++; nonce = nextNonce; nextNonce++; inDoubt = false; version = 0; mayStart = true
      }
-  :: atomic { tries < 2 -> tries++; goto follow }
+  :: atomic { submissionCount < 2 -> submissionCount++; goto follow }
   :: goto end
   fi;
 
 claim:
-  /* Insert or take over: conditional on the version seen, told apart by its nonce. */
+  /* Inserts or takes over the claim, on condition of the version that was read; the nonce identifies the claim. */
   if
   :: atomic { /* the table answers */
        if
@@ -322,7 +322,7 @@
        fi
      }
   :: atomic { /* the acknowledgement is lost */
-       lostAcks < MAX_LOST_ACKS -> lostAcks++;
+       lostAckCount < MAX_LOST_ACKS -> lostAckCount++;
        if
        :: rowVersion == version && rowNonce != nonce -> rowVersion++; rowNonce = nonce; rowOwner = e + 1
        :: else
@@ -334,49 +334,49 @@
        goto claim
 #endif
      }
-  :: atomic { /* the write is held up on its way */
-       !late[e] && lostAcks < MAX_LOST_ACKS -> lostAcks++;
-       late[e] = true; lateNonce[e] = nonce; lateVersion[e] = version; inDoubt = true;
+  :: atomic { /* the write is delayed */
+       !isWriteDelayed[e] && lostAckCount < MAX_LOST_ACKS -> lostAckCount++;
+       isWriteDelayed[e] = true; delayedNonce[e] = nonce; delayedVersion[e] = version; inDoubt = true;
 #ifdef NO_WAIT_FOR_OUTCOME
        goto own
 #else
        goto claim
 #endif
      }
-  :: atomic { /* the time for the claim is over */
-       fresh ->
-       released[nonce] = inDoubt;
-       tellNotRun(nonce);
+  :: atomic { /* the time limit for the claim has passed */
+       mayStart ->
+       isReleased[nonce] = inDoubt;
+       reportNotRun(nonce);
 #ifdef NO_RELEASE
        goto own
 #else
        goto idle
 #endif
      }
-  :: !fresh -> goto idle             /* a takeover that is given up says nothing of what ran */
-  :: deaths < MAX_DEATHS -> deaths++; dead[e] = true; goto end
+  :: !mayStart -> goto idle             /* a takeover that is given up reports nothing about what ran */
+  :: entryDeathCount < MAX_DEATHS -> entryDeathCount++; isDead[e] = true; goto end
   fi;
 
 follow:
   atomic { seenNonce = rowNonce; seenOwner = rowOwner; seenVersion = rowVersion; answer = rowAnswer };
   if
   :: seenOwner == 0 -> goto idle
-  :: answer != 0 -> atomic { tellFinal(answer); goto end }
+  :: answer != 0 -> atomic { reportFinal(answer); goto end }
   :: else
   fi;
   if
   :: nextNonce > MAX_NONCE -> goto end
-  :: atomic { /* the owner says that it never started, and never will */
-       nextNonce <= MAX_NONCE && released[seenNonce] && !dead[seenOwner - 1] ->
-       nonce = nextNonce; nextNonce++; version = seenVersion; fresh = true; inDoubt = false; goto claim
+  :: atomic { /* the owner reports that it started nothing and never will */
+       nextNonce <= MAX_NONCE && isReleased[seenNonce] && !isDead[seenOwner - 1] ->
+       nonce = nextNonce; nextNonce++; version = seenVersion; mayStart = true; inDoubt = false; goto claim
      }
-  :: atomic { /* the owner is lost, or thought to be */
-       nextNonce <= MAX_NONCE && !released[seenNonce] ->
+  :: atomic { /* the owner is lost or considered lost */
+       nextNonce <= MAX_NONCE && !isReleased[seenNonce] ->
        nonce = nextNonce; nextNonce++; version = seenVersion; inDoubt = false;
 #ifdef NO_COLLECT_ONLY
-       fresh = true;
+       mayStart = true;
 #else
-       fresh = false;
+       mayStart = false;
 #endif
        goto claim
      }
@@ -387,8 +387,8 @@
 own:
   atomic {
     seenNonce = 0; seenOwner = 0; seenVersion = 0; version = 0; inDoubt = false; answer = 0;
-    asked = false; waiting = 0;
-    for (t : 0 .. NT - 1) { state[t] = (fresh -> QUEUED : UNKNOWN); at[t] = 0 }
+    hasAskedToCollect = false; collectsPending = 0;
+    for (t : 0 .. NT - 1) { taskState[t] = (mayStart -> QUEUED : UNKNOWN); sentTo[t] = 0 }
     t = 0
   }
 
@@ -396,35 +396,35 @@
   do
   /* A start goes to any agent whose session is open and resumed. */
   :: atomic {
-       fresh && !overdue && ANY_QUEUED ->
+       mayStart && !isDeadlineOver && ANY_QUEUED ->
        if
-       :: state[0] == QUEUED -> t = 0
+       :: taskState[0] == QUEUED -> t = 0
 #if NT > 1
-       :: state[1] == QUEUED -> t = 1
+       :: taskState[1] == QUEUED -> t = 1
 #endif
        fi;
-       /* Agents are alike: the first start goes to agent 0. */
+       /* Agents are interchangeable: the first start goes to agent 0. */
        a = 0;
 #if NA > 1
-       if :: a = 0 :: usedAgent0 -> a = 1 fi;
+       if :: a = 0 :: isAgent0Used -> a = 1 fi;
 #endif
-       usedAgent0 = true;
+       isAgent0Used = true;
        if
-       :: !resumed[LINK(e, a)] && !lost[LINK(e, a)] && len(toAgent[LINK(e, a)]) < 2 ->
+       :: !isResumePending[LINK(e, a)] && !isNewIncarnation[LINK(e, a)] && len(toAgent[LINK(e, a)]) < 2 ->
           toAgent[LINK(e, a)]!START, t, nonce;
-          expired[LINK(e, a)] = false;
-          state[t] = SENT; at[t] = a
+          isResumeWindowOver[LINK(e, a)] = false;
+          taskState[t] = SENT; sentTo[t] = a
        :: else
        fi;
        t = 0; a = 0
      }
-  /* A takeover asks every agent that it reaches. */
+  /* A takeover sends a collect to every agent that it reaches. */
   :: atomic {
-       !fresh && !asked ->
-       asked = true;
+       !mayStart && !hasAskedToCollect ->
+       hasAskedToCollect = true;
        for (a : 0 .. NA - 1) {
          if
-         :: len(toAgent[LINK(e, a)]) < 2 && !lost[LINK(e, a)] -> toAgent[LINK(e, a)]!COLLECT, 0, nonce; waiting = waiting | BIT(a)
+         :: len(toAgent[LINK(e, a)]) < 2 && !isNewIncarnation[LINK(e, a)] -> toAgent[LINK(e, a)]!COLLECT, 0, nonce; collectsPending = collectsPending | BIT(a)
          :: true
          fi
        };
@@ -442,122 +442,122 @@
        nempty(toEntry[LINK(e, 0)]) ->
 #endif
        if
-       :: toEntry[LINK(e, a)]?RESULT, t, mask ->
+       :: toEntry[LINK(e, a)]?RESULT, t, taskMask ->
           if
-          :: (state[t] == SENT && at[t] == a) || state[t] == UNKNOWN -> state[t] = DONE
+          :: (taskState[t] == SENT && sentTo[t] == a) || taskState[t] == UNKNOWN -> taskState[t] = DONE
           :: else
           fi;
-          t = 0; mask = 0; a = 0
-       :: toEntry[LINK(e, a)]?NOT_STARTED, t, mask ->
+          t = 0; taskMask = 0; a = 0
+       :: toEntry[LINK(e, a)]?NOT_STARTED, t, taskMask ->
           if
-          :: state[t] == SENT && at[t] == a && fresh -> state[t] = QUEUED
+          :: taskState[t] == SENT && sentTo[t] == a && mayStart -> taskState[t] = QUEUED
           :: else
           fi;
-          t = 0; mask = 0; a = 0
-       :: toEntry[LINK(e, a)]?TAKEN_OVER, t, mask ->
-          t = 0; mask = 0; a = 0;
+          t = 0; taskMask = 0; a = 0
+       :: toEntry[LINK(e, a)]?TAKEN_OVER, t, taskMask ->
+          t = 0; taskMask = 0; a = 0;
           if
           :: rowNonce != nonce -> goto follow
           :: else
           fi
-       :: toEntry[LINK(e, a)]?COLLECTED, mask, endMask ->
-          waiting = waiting & ~BIT(a);
+       :: toEntry[LINK(e, a)]?COLLECTED, taskMask, doneMask ->
+          collectsPending = collectsPending & ~BIT(a);
           for (t : 0 .. NT - 1) {
             if
-            :: !fresh && state[t] == UNKNOWN && (endMask & BIT(t)) -> state[t] = DONE
-            :: !fresh && state[t] == UNKNOWN && (mask & BIT(t)) -> state[t] = SENT; at[t] = a
+            :: !mayStart && taskState[t] == UNKNOWN && (doneMask & BIT(t)) -> taskState[t] = DONE
+            :: !mayStart && taskState[t] == UNKNOWN && (taskMask & BIT(t)) -> taskState[t] = SENT; sentTo[t] = a
             :: else
             fi
           }
-          t = 0; mask = 0; endMask = 0; a = 0
+          t = 0; taskMask = 0; doneMask = 0; a = 0
        fi
      }
-  /* A session resumed: what the agent does not hold was never accepted. */
+  /* A session resumed: a task that the agent does not report was never accepted. */
   :: atomic {
 #if NA > 1
-       RESUMED(0) || RESUMED(1) ->
-       if :: RESUMED(0) -> a = 0 :: RESUMED(1) -> a = 1 fi;
+       IS_RESUME_READABLE(0) || IS_RESUME_READABLE(1) ->
+       if :: IS_RESUME_READABLE(0) -> a = 0 :: IS_RESUME_READABLE(1) -> a = 1 fi;
 #else
-       RESUMED(0) ->
+       IS_RESUME_READABLE(0) ->
 #endif
-       resumed[LINK(e, a)] = false;
-       endMask = 0;
+       isResumePending[LINK(e, a)] = false;
+       doneMask = 0;
        for (t : 0 .. NT - 1) {
          if
 #ifndef NO_HELD_CHECK
-         :: state[t] == SENT && at[t] == a && !(held[LINK(e, a)] & BIT(t)) ->
+         :: taskState[t] == SENT && sentTo[t] == a && !(agentTasks[LINK(e, a)] & BIT(t)) ->
 #else
-         :: state[t] == SENT && at[t] == a ->
+         :: taskState[t] == SENT && sentTo[t] == a ->
 #endif
             if
 #ifndef NO_RESUME_WINDOW
-            :: expired[LINK(e, a)] -> endMask = 1
-            :: !expired[LINK(e, a)] && fresh -> state[t] = QUEUED
-            :: !expired[LINK(e, a)] && !fresh -> endMask = 1
+            :: isResumeWindowOver[LINK(e, a)] -> doneMask = 1
+            :: !isResumeWindowOver[LINK(e, a)] && mayStart -> taskState[t] = QUEUED
+            :: !isResumeWindowOver[LINK(e, a)] && !mayStart -> doneMask = 1
 #else
-            :: fresh -> state[t] = QUEUED
-            :: !fresh -> endMask = 1
+            :: mayStart -> taskState[t] = QUEUED
+            :: !mayStart -> doneMask = 1
 #endif
             fi
          :: else
          fi
        };
        t = 0; a = 0;
-       if :: endMask -> endMask = 0; answer = FAILED; goto finish :: else fi
+       if :: doneMask -> doneMask = 0; answer = FAILED; goto finish :: else fi
      }
-  /* Another process of the agent: what it held is lost. */
+  /* A new process of the agent: the tasks of the old one are lost. */
   :: atomic {
 #if NA > 1
-       lost[LINK(e, 0)] || lost[LINK(e, 1)] ->
-       if :: lost[LINK(e, 0)] -> a = 0 :: lost[LINK(e, 1)] -> a = 1 fi;
+       isNewIncarnation[LINK(e, 0)] || isNewIncarnation[LINK(e, 1)] ->
+       if :: isNewIncarnation[LINK(e, 0)] -> a = 0 :: isNewIncarnation[LINK(e, 1)] -> a = 1 fi;
 #else
-       lost[LINK(e, 0)] ->
+       isNewIncarnation[LINK(e, 0)] ->
 #endif
-       lost[LINK(e, a)] = false;
-       waiting = waiting & ~BIT(a);
-       endMask = 0;
+       isNewIncarnation[LINK(e, a)] = false;
+       collectsPending = collectsPending & ~BIT(a);
+       doneMask = 0;
        for (t : 0 .. NT - 1) {
-         if :: state[t] == SENT && at[t] == a -> endMask = 1 :: else fi
+         if :: taskState[t] == SENT && sentTo[t] == a -> doneMask = 1 :: else fi
        };
        t = 0; a = 0;
-       if :: endMask -> endMask = 0; answer = FAILED; goto finish :: else fi
+       if :: doneMask -> doneMask = 0; answer = FAILED; goto finish :: else fi
      }
   /* All tasks are done. */
   :: ALL_DONE -> answer = COMPLETE; goto finish
 #ifdef NO_WHOLE_ANSWER
-  :: state[0] == DONE -> answer = COMPLETE; goto finish
+  :: taskState[0] == DONE -> answer = COMPLETE; goto finish
 #endif
   /* The deadline, a cancellation, a failed task, or a collect that leaves a task unknown. */
   :: atomic {
-       fresh && ALL_QUEUED -> tellNotRun(nonce); answer = FAILED; goto finish
+       mayStart && ALL_QUEUED -> reportNotRun(nonce); answer = FAILED; goto finish
      }
   :: answer = FAILED; goto finish
-  :: deaths < MAX_DEATHS -> deaths++; dead[e] = true; goto end
+  :: entryDeathCount < MAX_DEATHS -> entryDeathCount++; isDead[e] = true; goto end
   od;
 
 finish:
-  /* The final state is committed before it is told; the write is repeated until its outcome is known. */
+  /* The final state is committed before it is reported; the write is repeated until its outcome is known. */
 #ifdef NO_COMMIT_BEFORE_TELLING
-  atomic { tellFinal(answer); if :: !fresh -> answeredTakeover = true :: else fi; goto end };
+  atomic { reportFinal(answer); if :: !mayStart -> isTakeoverAnswered = true :: else fi; goto end };
 #endif
   if
   :: atomic {
        if
        :: rowNonce == nonce && rowAnswer == 0 ->
           rowVersion++; rowAnswer = answer;
-          tellFinal(answer);
-          if :: !fresh -> answeredTakeover = true :: else fi;
+          reportFinal(answer);
+          if :: !mayStart -> isTakeoverAnswered = true :: else fi;
           goto end
-       :: rowNonce == nonce && rowAnswer == answer -> tellFinal(answer); goto end
+       :: rowNonce == nonce && rowAnswer == answer -> reportFinal(answer); goto end
        :: else -> goto follow
        fi
      }
   :: atomic { /* the acknowledgement is lost */
-       lostAcks < MAX_LOST_ACKS -> lostAcks++;
+       lostAckCount < MAX_LOST_ACKS -> lostAckCount++;
        if :: rowNonce == nonce && rowAnswer == 0 -> rowVersion++; rowAnswer = answer :: else fi;
        goto finish
      }
-  :: deaths < MAX_DEATHS -> deaths++; dead[e] = true; goto end
+  :: entryDeathCount < MAX_DEATHS -> entryDeathCount++; isDead[e] = true; goto end
   fi;
 
 end:
