--- a/packages/coordination/src/leased/leasedSessions.ts
+++ b/packages/coordination/src/leased/leasedSessions.ts
@@ -51,7 +51,7 @@
  * to them, and determines when runs that were sent to an agent are terminated.
  */
 export class LeasedSessions implements SessionDispatcher<LeasedAgent> {
-  /** Earlier processes of agents, until their runs are confirmed terminated. */
+  /** Agent processes that were replaced by a later one, until their runs are confirmed terminated. */
   private readonly replacedAgents = new Set<LeasedAgent>()
   private readonly config: ConfigExchange
   private readonly evacuations: EvacuationExchange
@@ -111,7 +111,7 @@
     const { fleet, clock, events } = this.options
     const known = fleet.agents.get(hello.agentId)
     const isSame = known?.incarnation === hello.incarnation
-    if (known !== undefined && !isSame) this.replace(known)
+    if (known !== undefined && !isSame) this.removeAgent(known)
     const agent = known !== undefined && isSame ? known : new LeasedAgent(hello)
     fleet.agents.set(agent.agentId, agent)
     agent.connect(link, clock.now())
@@ -227,7 +227,8 @@
     this.options.onResult(agent, sent, result)
   }
 
-  private replace (agent: LeasedAgent): void {
+  /** Removes an agent process; its runs are tracked until they are confirmed terminated. */
+  private removeAgent (agent: LeasedAgent): void {
     const { fleet } = this.options
     agent.link?.close()
     agent.link = undefined
@@ -246,14 +247,14 @@
       this.endSession(agent)
     }
     this.loseRuns(agent, REASONS.agentLost)
-    if (agent.link === undefined && fleet.agents.get(agent.agentId) === agent) this.replace(agent)
+    if (agent.link === undefined && fleet.agents.get(agent.agentId) === agent) this.removeAgent(agent)
   }
 
   /**
    * Ends all sessions, as this process may have been suspended: it does not know what
    * it missed, for example that callers left, and agents with unverified entry leases
-   * must not rely on its echoes. Agents reconnect, and what runs there goes on under its
-   * present entry lease.
+   * must not rely on its echoes. Agents reconnect, and their runs continue under
+   * their present entry lease.
    */
   private endSessions (): void {
     for (const agent of this.options.fleet.agents.values()) this.endSession(agent)
