--- a/packages/coordination/src/handoff/handOnPeer.ts
+++ b/packages/coordination/src/handoff/handOnPeer.ts
@@ -31,7 +31,7 @@
     this.receivedAt = now
   }
 
-  /** Notes a received frame's timestamp and load report. */
+  /** Records the timestamp of a received frame, and its load report if it has one. */
   onReceived (now: number, stampMs: number, loadReport: HandOnNews | undefined): void {
     this.receivedAt = now
     this.stampMs = Math.max(this.stampMs, stampMs)
@@ -58,16 +58,16 @@
   /** Its last load report for a service, however old, and the offers that the report may not include. */
   viewOf (service: string, now: number): PeerView {
     this.recentOffers = this.recentOffers.filter(({ offeredAt }) => now - offeredAt < REPORT_DELAY_MS)
-    const capacity = this.loadReport?.rooms.find((other) => other.service === service)
-    const load: EntryLoadView = { lagMs: this.loadReport?.lagMs ?? 0, waitMs: capacity?.waitMs ?? 0 }
+    const serviceReport = this.loadReport?.rooms.find((report) => report.service === service)
+    const load: EntryLoadView = { lagMs: this.loadReport?.lagMs ?? 0, waitMs: serviceReport?.waitMs ?? 0 }
     return {
       peer: this,
       zone: this.zone,
       receivedAt: this.receivedAt,
-      isOpen: this.isOpen && capacity !== undefined,
+      isOpen: this.isOpen && serviceReport !== undefined,
       isStopping: this.loadReport?.stopping ?? false,
       ...load,
-      freeMilli: capacity?.freeMilli ?? 0,
+      freeMilli: serviceReport?.freeMilli ?? 0,
       unreportedMilli: this.recentOffers.reduce((sum, { cpuMilli }) => sum + cpuMilli, 0)
     }
   }
--- a/packages/coordination/src/handoff/handedOnJobs.ts
+++ b/packages/coordination/src/handoff/handedOnJobs.ts
@@ -115,6 +115,7 @@
     if (peer === undefined) return dispatcher.submit(spec, onEnd)
     const job = createLeasedJob(spec, now, this.expectedMs(spec), onEnd)
     this.overloadWatch.onHandedOn(now)
+    // The host owns the runs: together they count as one that is not terminated, and any task may have run.
     Object.assign(job, { queue: [], unterminatedRuns: 1, mayHaveRun: job.count })
     this.jobs.set(job.key, job)
     const offer = encodeOffer(peer.addOffer(job, now), spec)
--- a/packages/coordination/src/handoff/hostedJobs.ts
+++ b/packages/coordination/src/handoff/hostedJobs.ts
@@ -16,12 +16,13 @@
 export interface OriginPeer {
   readonly entryId: string
   readonly link: HandOnLink<HostFrame>
+  /** When the entry is known to have been alive; shared with the jobs that it handed on. */
   readonly originEntry: OriginEntry
   /** Its jobs that are not confirmed terminated, by the number of their offer. */
   readonly jobs: Map<number, LeasedJob>
-  /** When the last regular frame was sent to it. */
+  /** When the last regular frame was sent to it, in ms on this process's clock. */
   sentAt: number
-  /** When its last frame was received. */
+  /** When its last frame was received, in ms on this process's clock. */
   receivedAt: number
 }
 
@@ -40,6 +41,7 @@
   events: {
     /** An offer was accepted, `silentMs` after the origin entry was last known to be alive. */
     hosted: (entryId: string, job: LeasedJob, silentMs: number) => void
+    /** An offer was refused, `silentMs` after the origin entry was last known to be alive. */
     refused: (entryId: string, submission: string, reason: OfferRefusal, silentMs: number) => void
     /** An origin entry timed out, or its stream ended, while its jobs run here; they are cancelled. */
     originEntryLost: (entryId: string, silentMs: number, jobs: number) => void
@@ -47,9 +49,10 @@
 }
 
 /**
- * Interval of regular frames to an origin entry. They show that this entry is
- * alive, and the echo of their timestamp that the origin entry is. The time
- * between two of them may be longer by the interval of `sweep`.
+ * Interval of regular frames to an origin entry. They show the origin entry that
+ * this one is alive, and the echo of their timestamp shows this one that the
+ * origin entry is alive. The time between two of them may be longer by the
+ * interval of `sweep`.
  */
 const FRAME_INTERVAL_MS = 50
 /**
--- a/packages/coordination/src/handoff/loadReport.ts
+++ b/packages/coordination/src/handoff/loadReport.ts
@@ -19,7 +19,7 @@
 export const reportServiceLoad = (fleet: LeasedFleet, service: string, now: number, originEntry?: OriginEntry): ServiceLoadReport => {
   const { queue } = fleet.serviceOf(service)
   const agents = fleet.agentsOf(service).filter((agent) => fleet.echoLimits.mayStart({ originEntry }, agent, now))
-  const freeMilli = agents.reduce((sum, { freeCapacity: room, entryCount }) => sum + Math.max(0, room.cpuMilli) / entryCount, 0)
+  const freeMilli = agents.reduce((sum, { freeCapacity, entryCount }) => sum + Math.max(0, freeCapacity.cpuMilli) / entryCount, 0)
   const priority = Math.max(0, ...[...queue].map((job) => job.priority))
   const waitMs = forecastWait(workAhead(queue, priority), priority, fleet.loadOf(service))
   return { freeMilli: Math.round(freeMilli), waitMs: Math.round(waitMs) }
--- a/packages/coordination/src/handoff/overloadWatch.ts
+++ b/packages/coordination/src/handoff/overloadWatch.ts
@@ -32,12 +32,12 @@
     if (now - Math.max(this.trialSince, this.needsHelpSince, this.handedOnAt) > TRIAL_MS) this.pausedUntil = now + PAUSE_MS
   }
 
-  /** Notes that a job was handed on: the streams are of use. */
+  /** Records that a job was handed on, so the streams are of use. */
   onHandedOn (now: number): void {
     this.handedOnAt = now
   }
 
-  /** True while jobs should be handed on. */
+  /** True while jobs should be handed on: the entry has needed help, by `needsHelp`, for at least `MIN_OVERLOAD_MS`. */
   isOverloaded (now: number): boolean {
     return this.needsHelpNow && now - this.needsHelpSince >= MIN_OVERLOAD_MS
   }
--- a/packages/coordination/src/leased/capacityOffers.ts
+++ b/packages/coordination/src/leased/capacityOffers.ts
@@ -76,10 +76,10 @@
   }
 
   /**
-   * Updates at once, when free capacity has become scarce, the entries that were
-   * last told it was plentiful and would still send starts for it. If this waited
-   * for the next keep-alive frame, three of ten starts would be sent in vain with
-   * ten entries and 62 agents.
+   * When free capacity has become scarce, sends a frame at once to the entries whose
+   * last report showed it as plentiful, as they would still send starts for it. If
+   * this waited for the next keep-alive frame, three of ten starts would be sent in
+   * vain with ten entries and 62 agents.
    */
   private reportScarcity (): void {
     const capacity = this.options.capacity()
--- a/packages/coordination/src/leased/configExchange.ts
+++ b/packages/coordination/src/leased/configExchange.ts
@@ -37,6 +37,7 @@
  */
 export class ConfigExchange {
   private readonly copy = new ConfigCopy()
+  /** Highest version that an agent has reported, and since when it is known. */
   private newestVersion = 0n
   private newestSince = -Infinity
   private sentAt = -Infinity
--- a/packages/coordination/src/leased/endpointOrders.ts
+++ b/packages/coordination/src/leased/endpointOrders.ts
@@ -34,6 +34,7 @@
   log: (event: string, fields: Record<string, string | number | boolean | undefined>) => void
 }
 
+/** How many run numbers that the endpoint rejects as used are tried before the task goes to another endpoint. */
 const MAX_NUMBER_TRIES = 6
 /**
  * How often a start is sent if none is answered: with 8% of orders lost, one in
--- a/packages/coordination/src/leased/endpointResponsiveness.ts
+++ b/packages/coordination/src/leased/endpointResponsiveness.ts
@@ -23,8 +23,8 @@
  * Longest wait of a poll for an end while losses are expected: the end in a lost
  * answer is listed again only by the next poll. A shorter wait costs more
  * connections, one for each lost poll, and gains nothing: with 8% of calls lost
- * for 12 s, 990 connections at 25 ms and 1290 at 10 ms, with about as many answers
- * in time (0.994 and 0.995 of the value).
+ * for 12 s, 990 connections at 25 ms and 1290 at 10 ms, and answers earn about as
+ * much of their value (0.994 and 0.995).
  */
 const LOSSY_POLL_WAIT_MS = 25
 
--- a/packages/coordination/src/leased/endpointSupervisor.ts
+++ b/packages/coordination/src/leased/endpointSupervisor.ts
@@ -15,7 +15,7 @@
 const TAKEOVER_PAUSE_MS = 25
 /** Longest wait of a poll without renewal under an unverified entry lease: a renewal is due as soon as the lease is verified. */
 const UNVERIFIED_WAIT_MS = 25
-/** How often an unanswered immediate poll is repeated; the regular polls show the same. */
+/** How often an immediate poll is sent if it is not answered; after that, the next regular poll lists the same. */
 const MAX_POLL_TRIES = 3
 
 /**
@@ -184,7 +184,7 @@
     await clock.sleep(Math.min(this.responsiveness.pauseMs, this.untilExpiryMs))
   }
 
-  /** Time in ms until the last run lease has expired; infinite if that confirms nothing any more. */
+  /** Time in ms until all runs in flight have terminated if the run lease is not renewed again; Infinity if there are none or that time has passed. */
   private get untilExpiryMs (): number {
     const remainingMs = this.leaseRenewedAt + runExpiryMs(this.options.times) - this.options.clock.now()
     return this.inFlight.size > 0 && remainingMs > 0 ? remainingMs : Infinity
--- a/packages/coordination/src/leased/entryLeases.ts
+++ b/packages/coordination/src/leased/entryLeases.ts
@@ -32,15 +32,15 @@
  * After a possible suspension all leases are unverified, and echoes of earlier
  * timestamps are ignored. An echo of a later timestamp on the same session
  * verifies the lease: an entry ends its sessions if it may have been suspended
- * itself, or if it has not heard from the agent for so long that it considers
- * the runs there terminated.
+ * itself, or if it has received nothing from the agent for so long that it
+ * considers the runs there terminated.
  */
 export class EntryLeases {
   /** When the lease of each entry expires, by the entry's incarnation. */
   private readonly expiryOf = new Map<string, number>()
   /** Entries with an unverified lease, and when it expires if it is not verified. */
   private readonly unverifiedUntil = new Map<string, number>()
-  /** Timestamps up to this one may be older than the steady clock shows. */
+  /** Echoes of timestamps up to this one are ignored, as they may be older than the steady clock shows. */
   private echoesIgnoredUntil = -Infinity
 
   constructor (private readonly options: EntryLeasesOptions) {
@@ -74,7 +74,7 @@
     if (echoStampMs === 0 || echoStampMs <= this.echoesIgnoredUntil) return
     const expiresAt = echoStampMs + this.options.entryLeaseMs
     const before = this.expiryOf.get(incarnation)
-    if (before !== undefined && !this.isValid(incarnation)) this.resolve(incarnation)
+    if (before !== undefined && !this.isValid(incarnation)) this.verifyOrExpire(incarnation)
     if (expiresAt <= (before ?? 0)) return
     this.expiryOf.set(incarnation, expiresAt)
     if (before === undefined) this.scheduleExpiry(incarnation)
@@ -92,8 +92,8 @@
     return this.options.clock.now() <= (this.expiryOf.get(incarnation) ?? -Infinity)
   }
 
-  /** Verifies a lease that was only unverified; stops the runs of one that has expired. */
-  private resolve (incarnation: string): void {
+  /** Handles an echo for a lease that is not valid: verifies it if it is unverified, or else ends it and stops its runs. */
+  private verifyOrExpire (incarnation: string): void {
     if (!this.isUnverified(incarnation)) this.expiryOf.set(incarnation, EXPIRED)
     this.unverifiedUntil.delete(incarnation)
     this.options.onExpired()
--- a/packages/coordination/src/leased/leasedAdmission.ts
+++ b/packages/coordination/src/leased/leasedAdmission.ts
@@ -13,7 +13,7 @@
 const refuse = (reason: RefusalReason, message: string, { retryAfter }: Pick<Policy, 'retryAfter'>): LeasedRefusal =>
   ({ type: 'refused', reason, message, retryAfterMs: retryAfter() })
 
-/** A refusal with the share of the job's queue: what it got, and its floor. */
+/** A refusal with the recent load and the floor of the job's queue. */
 const refuseOverloaded = (message: string, { priority }: LeasedJob, { queues }: LoadView, policy: Pick<Policy, 'retryAfter'>): LeasedJobEnd =>
   ({ ...refuse(REASONS.overload, message, policy), share: queues.find((queue) => queue.priority === priority) })
 
--- a/packages/coordination/src/leased/leasedDispatcher.ts
+++ b/packages/coordination/src/leased/leasedDispatcher.ts
@@ -14,7 +14,7 @@
 import { RunTimes } from './runTimes.js'
 import { Suspects } from './suspects.js'
 
-/** Health records hold run times relative to the expected ones: this is a run that took as long as expected, in ms. */
+/** Health records compare run times of different kinds of task, so they get them scaled: a run that took as long as expected counts as this many ms. */
 const EXPECTED_SCALE_MS = 100
 /** A process that has just started does not know its agents yet: after an outage of all, they take about two seconds to connect. */
 const DISCOVERY_MS = 3000
@@ -68,7 +68,7 @@
     return [...this.fleet.services.values()].reduce((sum, { queue }) => sum + queue.size, 0)
   }
 
-  /** Number of queues that got less than their floors lately. */
+  /** Number of queues that are below their floors. */
   get queuesBelowFloor (): number {
     return this.fleet.queuesBelowFloor
   }
--- a/packages/coordination/src/leased/leasedFleet.ts
+++ b/packages/coordination/src/leased/leasedFleet.ts
@@ -62,7 +62,6 @@
   readonly agents = new Map<string, LeasedAgent>()
   /** Evacuated zones. Their endpoints get no tasks and do not count as capacity. */
   readonly evacuations = new EvacuationList()
-
   /** Limits the timestamps echoed to agents while jobs of other entries run here. */
   readonly echoLimits = new EchoLimits()
   /** When the set of usable endpoints changed last, in ms. */
@@ -121,7 +120,7 @@
     return pending
   }
 
-  /** Number of queues, over all services, that got less than their floors lately. */
+  /** Number of queues, over all services, that are below their floors. */
   get queuesBelowFloor (): number {
     return [...this.services.keys()].reduce((sum, name) => sum + this.loadOf(name).queues.filter(isBelowFloor).length, 0)
   }
--- a/packages/coordination/src/leased/leasedJob.ts
+++ b/packages/coordination/src/leased/leasedJob.ts
@@ -46,7 +46,7 @@
   reason: Reason
   message: string
   retryAfterMs: number
-  /** What its queue got, and its floor, if it was refused for lack of capacity. */
+  /** Recent load and floor of its queue, if it was refused for lack of capacity. */
   share?: QueueShare | undefined
 }
 
--- a/packages/coordination/src/leased/leasedQueue.ts
+++ b/packages/coordination/src/leased/leasedQueue.ts
@@ -22,7 +22,7 @@
     const priorityOf = demandPriority(queues)
     let first: number | undefined
     for (const job of this.jobs) {
-      // A late job has no claim to the floor of its queue.
+      // The floor of a queue does not help its late jobs.
       const priority = isLate(job, now) ? job.priority : priorityOf(job.priority)
       if (first === undefined || priority < first) first = priority
     }
--- a/packages/coordination/src/leased/leasedSessions.ts
+++ b/packages/coordination/src/leased/leasedSessions.ts
@@ -51,7 +51,7 @@
  * to them, and determines when runs that were sent to an agent are terminated.
  */
 export class LeasedSessions implements SessionDispatcher<LeasedAgent> {
-  /** Earlier processes of agents, until their runs are confirmed terminated. */
+  /** Agent processes that were replaced by a later one, until their runs are confirmed terminated. */
   private readonly replacedAgents = new Set<LeasedAgent>()
   private readonly config: ConfigExchange
   private readonly evacuations: EvacuationExchange
@@ -111,7 +111,7 @@
     const { fleet, clock, events } = this.options
     const known = fleet.agents.get(hello.agentId)
     const isSame = known?.incarnation === hello.incarnation
-    if (known !== undefined && !isSame) this.replace(known)
+    if (known !== undefined && !isSame) this.removeAgent(known)
     const agent = known !== undefined && isSame ? known : new LeasedAgent(hello)
     fleet.agents.set(agent.agentId, agent)
     agent.connect(link, clock.now())
@@ -227,7 +227,8 @@
     this.options.onResult(agent, sent, result)
   }
 
-  private replace (agent: LeasedAgent): void {
+  /** Removes an agent process; its runs are tracked until they are confirmed terminated. */
+  private removeAgent (agent: LeasedAgent): void {
     const { fleet } = this.options
     agent.link?.close()
     agent.link = undefined
@@ -246,7 +247,7 @@
       this.endSession(agent)
     }
     this.loseRuns(agent, REASONS.agentLost)
-    if (agent.link === undefined && fleet.agents.get(agent.agentId) === agent) this.replace(agent)
+    if (agent.link === undefined && fleet.agents.get(agent.agentId) === agent) this.removeAgent(agent)
   }
 
   /**
--- a/packages/coordination/src/leased/offerRotation.ts
+++ b/packages/coordination/src/leased/offerRotation.ts
@@ -1,9 +1,9 @@
 import { isScarce, CAPACITY_OFFER_MS } from '@hazellift/decisions'
 import type { OfferCapacity, Resources, CurrentOffer, EntryDemand } from '@hazellift/decisions'
 
-/** Rotates offers of scarce free capacity among entries: tracks the entry in turn and when each was last served. */
+/** Rotates offers of scarce free capacity among entries: tracks the current offer and the order in which entries were served. */
 export class OfferRotation {
-  private turn: CurrentOffer = { holder: undefined, offeredAt: -Infinity }
+  private current: CurrentOffer = { holder: undefined, offeredAt: -Infinity }
   private readonly lastServes = new Map<string, number>()
   private serveCount = 0
 
@@ -29,9 +29,9 @@
   /** Incarnation of the entry that scarce free capacity is offered to now; undefined if none has tasks that wait. */
   entryInTurn (demands: EntryDemand[]): string | undefined {
     const now = this.now()
-    const holder = this.offer(demands, this.turn, now)
-    const keepsTurn = holder !== undefined && holder === this.turn.holder && now - this.turn.offeredAt < CAPACITY_OFFER_MS
-    if (!keepsTurn) this.turn = { holder, offeredAt: now }
+    const holder = this.offer(demands, this.current, now)
+    const isSameOffer = holder !== undefined && holder === this.current.holder && now - this.current.offeredAt < CAPACITY_OFFER_MS
+    if (!isSameOffer) this.current = { holder, offeredAt: now }
     return holder
   }
 
@@ -43,7 +43,7 @@
   /** The entry has sent starts or has let its offer pass: entries of the same priority are served before it. */
   onServed (incarnation: string): void {
     this.lastServes.set(incarnation, ++this.serveCount)
-    if (this.turn.holder === incarnation) this.turn = { ...this.turn, holder: undefined }
+    if (this.current.holder === incarnation) this.current = { ...this.current, holder: undefined }
   }
 
   forget (incarnation: string): void {
--- a/packages/coordination/src/leased/queueShares.test.ts
+++ b/packages/coordination/src/leased/queueShares.test.ts
@@ -14,7 +14,7 @@
 const MAX_DIFFERENCE = 0.05
 
 const servedBy = (entries: number, shares: ComputeShares, seed: number): number[] =>
-  [...simulateQueueBurst(entries, shares, seed).queues.values()].map(({ inTime, arrived: asked }) => inTime / asked)
+  [...simulateQueueBurst(entries, shares, seed).queues.values()].map(({ inTime, arrived }) => inTime / arrived)
 const SEEDS = [{ seed: 1 }, { seed: 5 }, { seed: 6 }, { seed: 7 }]
 
 describe('a burst of the least urgent queue to 25% over capacity', () => {
--- a/packages/coordination/src/leased/speedRecord.ts
+++ b/packages/coordination/src/leased/speedRecord.ts
@@ -24,7 +24,7 @@
     this.updatedAt = clock.now()
   }
 
-  /** Takes in a run that has succeeded; ignored if its expected time is unknown. */
+  /** Records a run that has succeeded; ignored if its expected time is unknown. */
   observe (runMs: number, expectedMs: number): void {
     if (expectedMs <= 0) return
     this.slowness = this.current + (runMs / expectedMs - this.current) * WEIGHT
--- a/packages/coordination/src/leased/suspects.ts
+++ b/packages/coordination/src/leased/suspects.ts
@@ -13,7 +13,7 @@
 /** A crash of an endpoint, and a job of which a task ran there. */
 interface Crash {
   at: number
-  place: string
+  agent: string
   job: string
 }
 
@@ -81,7 +81,7 @@
   }
 
   private remember (job: LeasedJob, index: number, loss: Loss): void {
-    if (loss.isCrash) this.crashes.push({ at: loss.at, place: loss.agent, job: job.key })
+    if (loss.isCrash) this.crashes.push({ at: loss.at, agent: loss.agent, job: job.key })
     const name = taskName(job, index)
     const losses = [...this.losses.get(name) ?? [], loss]
     // Deleted first, so that the map is ordered by latest loss.
@@ -106,13 +106,13 @@
   /** Number of agents whose endpoints crashed at about that time and ran no task of the job. */
   private othersAt ({ at }: Loss, job: string): number {
     const simultaneous = this.crashes.filter((crash) => Math.abs(crash.at - at) <= SAME_CAUSE_MS)
-    const ownPlaces = new Set(simultaneous.filter((crash) => crash.job === job).map(({ place }) => place))
-    return new Set(simultaneous.map(({ place }) => place).filter((place) => !ownPlaces.has(place))).size
+    const ownAgents = new Set(simultaneous.filter((crash) => crash.job === job).map(({ agent }) => agent))
+    return new Set(simultaneous.map(({ agent }) => agent).filter((agent) => !ownAgents.has(agent))).size
   }
 
   private incarnationsOf (job: LeasedJob, index: number): string[] {
     const losses = this.losses.get(taskName(job, index)) ?? []
-    return [...new Set(losses.map(({ incarnation: life, isCrash }) => isCrash ? life : `${life} (silent)`))]
+    return [...new Set(losses.map(({ incarnation, isCrash }) => isCrash ? incarnation : `${incarnation} (silent)`))]
   }
 
   private failureOf (job: LeasedJob, index: number): LeasedJobEnd {
--- a/packages/coordination/src/leased/types.ts
+++ b/packages/coordination/src/leased/types.ts
@@ -62,7 +62,7 @@
   /** Another incarnation of the endpoint answered: all runs of this one have terminated. */
   | { type: 'gone' }
 
-/** The calls of one incarnation of an endpoint. They settle within their own time limits and never reject. */
+/** The calls of one incarnation of an endpoint. Their promises resolve within time limits of their own and never reject. */
 export interface LeasedEndpoint {
   start: (order: StartOrder) => Promise<StartOutcome>
   /** Resolves with true once the run is being stopped or can never begin. */
--- a/packages/decisions/src/admit.ts
+++ b/packages/decisions/src/admit.ts
@@ -2,8 +2,8 @@
  * Admission control: decides whether an arriving job is accepted.
  *
  * In a burst over capacity, or after a loss of capacity, a caller that cannot be
- * served is refused at once and may go elsewhere. A job that waits in vain holds
- * up its caller and makes the queue longer.
+ * served is refused at once and may go elsewhere. A job that waits in vain
+ * delays its caller and makes the queue longer.
  */
 import { forecastWait, workAhead } from './forecast.js'
 import type { LoadView } from './forecast.js'
--- a/packages/decisions/src/offerCapacity.ts
+++ b/packages/decisions/src/offerCapacity.ts
@@ -12,7 +12,7 @@
   readonly incarnation: string
   /** Priority of its first waiting task; 0 is the most urgent. */
   readonly priority: number
-  /** Increases each time an entry is served at this endpoint; 0 if this entry never was. */
+  /** Rank of the entry's last serve among all serves at this endpoint, higher is later; 0 if it was never served. */
   readonly lastServe: number
 }
 
--- a/packages/decisions/src/placeTask.ts
+++ b/packages/decisions/src/placeTask.ts
@@ -48,12 +48,12 @@
 const MIN_NOTABLE_SLOWNESS = 1.1
 /** An endpoint that is slower than this is considered faulty. */
 const FAULTY_SLOWNESS = 2
-/** The last slot at an agent is often taken by another entry's start meanwhile, which costs a wait and another trip. */
+/** An agent's last slot, free capacity for one more such task only, is often used by another entry's start meanwhile, which costs a wait and another trip. */
 const LAST_SLOT_PENALTY_MS = 6
 /** Agents whose costs differ by less are considered equal. */
 const TIE_MS = 0.5
 
-/** True if no second such task fits. */
+/** True if the agent's free capacity is too small for two tasks of the job. */
 const isLastSlot = ({ freeCapacity }: PlaceView, { need }: JobView): boolean =>
   freeCapacity.cpuMilli < 2 * need.cpuMilli || freeCapacity.memoryMb < 2 * need.memoryMb
 
--- a/packages/decisions/src/shares.ts
+++ b/packages/decisions/src/shares.ts
@@ -44,8 +44,8 @@
 /**
  * Floor of a queue as a share of what it would get if the same fraction of all
  * queues' work were served. With 1, some queue would always be below its floor and
- * priority would have no effect; with much less, the lowest priority bears nearly
- * all refusals again.
+ * priority would have no effect; with much less, nearly all refusals fall on the
+ * lowest priority again.
  */
 export const FLOOR_SHARE = 0.95
 
--- a/packages/decisions/src/suspect.ts
+++ b/packages/decisions/src/suspect.ts
@@ -28,7 +28,7 @@
   /** The task is not started again. */
   | 'give_up'
 
-/** A task is given up after crashes at this many agents that no outage explains. */
+/** A task is given up, which means not started again, after crashes at this many agents that no outage explains. */
 const UNEXPLAINED_AGENT_LIMIT = 2
 /** A task is given up after this many crashes of whatever cause, unless all of them were at one agent. */
 const CRASH_LIMIT = 3
