--- a/packages/coordination/src/leased/leasedSessions.ts
+++ b/packages/coordination/src/leased/leasedSessions.ts
@@ -253,8 +253,8 @@
   /**
    * Ends all sessions, as this process may have been suspended: it does not know what
    * it missed, for example that callers left, and agents with unverified entry leases
-   * must not rely on its echoes. Agents reconnect, and what runs there goes on under its
-   * present entry lease.
+   * must not rely on its echoes. Agents reconnect, and their runs continue under
+   * their present entry lease.
    */
   private endSessions (): void {
     for (const agent of this.options.fleet.agents.values()) this.endSession(agent)
--- a/packages/coordination/src/leased/loadRecord.ts
+++ b/packages/coordination/src/leased/loadRecord.ts
@@ -7,7 +7,7 @@
 const DECAY_MS = 1000
 /**
  * The expected rate weighs as much as this time of observation while jobs wait. Without
- * it, an entry that got no capacity for a moment would be starved for good, because it
+ * it, an entry that got no capacity for a moment would never get any again, because it
  * would forecast endless waits.
  */
 const PRIOR_MS = 300
@@ -64,7 +64,7 @@
     this.recordOf(priority).refused.add(work, this.now())
   }
 
-  /** Records work that was sent to agents; negative for work that came back without having been started. */
+  /** Records work that was sent to agents; negative for work that was returned without having been started. */
   onStarted (priority: number, work: number): void {
     this.recordOf(priority).started.add(work, this.now())
     if (this.wasWaiting) this.startedWhileWaiting += work
--- a/packages/decisions/src/forecast.ts
+++ b/packages/decisions/src/forecast.ts
@@ -2,9 +2,9 @@
  * Forecasts how long a job will wait for its first start.
  *
  * When more work arrives than the endpoints can do, a job that cannot start in
- * time should be refused at once; without a forecast most refusals of a burst
- * come after a wait in vain. The work ahead of a job is not all that it waits
- * for: more urgent work that arrives meanwhile goes first, too.
+ * time should be refused at once; without a forecast most jobs refused in a burst
+ * have waited first. A job waits not only for the work ahead of it, but also for
+ * more urgent work that arrives meanwhile.
  */
 import { isBelowFloor } from './shares.js'
 import type { QueueShare } from './shares.js'
--- a/packages/decisions/src/handOn.ts
+++ b/packages/decisions/src/handOn.ts
@@ -72,7 +72,9 @@
 /** Why a job is not handed on. */
 export const KEEP_REASONS = {
   notOverloaded: 'not_short',
+  /** `HandOnLimits.maxOutstanding` jobs are handed on. */
   outstanding: 'outstanding',
+  /** `HandOnLimits.maxShare` of recent arrivals was handed on. */
   share: 'share',
   /** No neighbour's load report is recent enough. */
   noReport: 'no_news',
