--- a/scripts/bundlePlatform.js
+++ b/scripts/bundlePlatform.js
@@ -1,5 +1,5 @@
-// Bundles the roles where the deploy file looks for them, or where the first argument
-// says, and places the Node.js that they run on beside them.
+// Bundles the roles into the directory that the deploy file uses, or into the one given
+// as the first argument, and copies the Node.js binary that runs them into it.
 import { bundleRoles } from './bundleRoles.js'
 import { placeRuntime } from './placeRuntime.js'
 
--- a/scripts/bundleRoles.js
+++ b/scripts/bundleRoles.js
@@ -1,10 +1,12 @@
-// Bundles the two roles of the deploy file, one file each: a process that loads
-// one file starts several times faster than one that loads hundreds, and a
-// machine pays for its start.
+// Bundles each of the two roles of the deploy file into one file: a process that
+// loads one file starts several times faster than one that loads hundreds, and
+// startup uses CPU time of the machine.
 import { build } from 'esbuild'
 
 /**
- * @param {string} outdir - where entry.cjs and agent.cjs go
+ * Bundles the entry and the agent for Node.js.
+ *
+ * @param {string} outdir - directory that entry.cjs and agent.cjs are written to
  */
 export const bundleRoles = (outdir) => build({
   entryPoints: { entry: 'platform/src/entry/main.ts', agent: 'platform/src/agent/main.ts' },
@@ -12,8 +14,8 @@
   bundle: true,
   platform: 'node',
   target: 'node20',
-  // An import of `node:http` reads all that it exports, and with it loads Node.js's
-  // own copy of undici with all of fetch; a require reads what is used.
+  // An ESM import of `node:http` reads all of its exports, which loads Node.js's
+  // built-in undici with all of fetch; a require reads only the exports that are used.
   format: 'cjs',
   outExtension: { '.js': '.cjs' },
   conditions: ['source'],
--- a/scripts/checkGenerated.js
+++ b/scripts/checkGenerated.js
@@ -1,4 +1,4 @@
-// Fails when the committed generated code differs from what the schemas give.
+// Fails if the committed generated code differs from the output of the generator.
 import { execFileSync } from 'node:child_process'
 import { cpSync, mkdtempSync, readFileSync, readdirSync, rmSync } from 'node:fs'
 import { tmpdir } from 'node:os'
@@ -6,12 +6,12 @@
 
 const GENERATED = 'packages/protocol/src/gen'
 
-const filesOf = (folder) => readdirSync(folder, { recursive: true, withFileTypes: true })
+const listFiles = (folder) => readdirSync(folder, { recursive: true, withFileTypes: true })
   .filter((entry) => entry.isFile())
   .map((entry) => join(entry.parentPath, entry.name).slice(folder.length))
   .sort()
 
-const snapshot = (folder) => Object.fromEntries(filesOf(folder).map((file) => [file, readFileSync(join(folder, file), 'utf8')]))
+const snapshot = (folder) => Object.fromEntries(listFiles(folder).map((file) => [file, readFileSync(join(folder, file), 'utf8')]))
 
 const saved = mkdtempSync(join(tmpdir(), 'hazellift-generated-'))
 cpSync(GENERATED, saved, { recursive: true })
--- a/scripts/measurePolicy.js
+++ b/scripts/measurePolicy.js
@@ -1,4 +1,5 @@
-// Measures the cost of one evaluation of a usual policy and of costly ones that are still accepted.
+// Measures the time that one evaluation takes for a typical policy and for the most
+// expensive ones that are still accepted.
 import { POLICY_LIMITS, compilePolicy } from '@hazellift/coordination'
 
 const ROUNDS = 2000
--- a/scripts/placeRuntime.js
+++ b/scripts/placeRuntime.js
@@ -1,5 +1,5 @@
-// Places the Node.js that the roles run on beside their bundles, and checks that
-// it takes the flags that the deploy file gives them.
+// Copies the Node.js binary that runs the roles next to their bundles, and checks
+// that it accepts the flags from the deploy file.
 import { execFileSync } from 'node:child_process'
 import { copyFileSync, mkdirSync, readFileSync } from 'node:fs'
 import { createRequire } from 'node:module'
@@ -9,26 +9,26 @@
 const DEPLOY_FILE = 'deploy/system.toml'
 
 /**
- * The program of the pinned package, or the Node.js that runs this script where
- * there is no package for the system.
+ * Finds the binary of the pinned Node.js package, or the Node.js that runs this
+ * script if there is no package for the system.
  *
- * @param {string} platform - as Node.js names it
- * @param {string} arch - as Node.js names it
- * @returns {string} its path
+ * @param {string} platform - value of `process.platform`
+ * @param {string} arch - value of `process.arch`
+ * @returns {string} path of the binary
  */
 export const findRuntime = (platform = process.platform, arch = process.arch) => {
   try {
     return createRequire(import.meta.url).resolve(`node-${platform}-${arch}/bin/node`)
   } catch {
-    console.error(`no pinned Node.js for ${platform}-${arch}: the roles run on ${process.version}`)
+    console.error(`no pinned Node.js package for ${platform}-${arch}: the roles will run on ${process.version}, which runs this script`)
     return process.execPath
   }
 }
 
 /**
- * Flags of each role, between its program and its bundle.
+ * Reads the Node.js flags of each role: the words of its command that begin with `--`.
  *
- * @param {string} deployFile - TOML
+ * @param {string} deployFile - content of the deploy file, in TOML
  * @returns {{ role: string, flags: string[] }[]}
  */
 export const readRoleFlags = (deployFile) => Object.entries(parse(deployFile).roles ?? {}).map(([role, { run }]) => ({
@@ -37,9 +37,9 @@
 }))
 
 /**
- * Throws if the runtime refuses a role's flags: its processes would not start.
+ * Throws if the runtime rejects a role's flags, because its processes would not start.
  *
- * @param {string} runtime - path of the program
+ * @param {string} runtime - path of the Node.js binary
  * @param {{ role: string, flags: string[] }[]} roles
  */
 export const checkFlags = (runtime, roles) => {
@@ -53,9 +53,9 @@
 }
 
 /**
- * Copies the runtime into a directory, as `node`.
+ * Copies the runtime into a directory as `node`, after checking the roles' flags.
  *
- * @param {string} directory - made if it is missing
+ * @param {string} directory - created if it is missing
  */
 export const placeRuntime = (directory) => {
   const runtime = findRuntime()
--- a/tests/api.test.ts
+++ b/tests/api.test.ts
@@ -1,6 +1,6 @@
 import { ADMIN_TOKEN, callerToken, operatorToken } from '@hazellift/standins'
 import { expect, test } from 'vitest'
-import { ask, call, cancel, submit, tasksOf, useCluster } from './support.js'
+import { call, cancel, createTasks, getJob, submit, useCluster } from './support.js'
 
 const cluster = useCluster({ workspaces: [{ name: 'florist' }, { name: 'surveyor' }] })
 
@@ -21,7 +21,7 @@
   { name: 'no id', body: json({ id: '' }), status: 400, reason: 'bad_request' },
   { name: 'an id with a slash', body: json({ id: 'a/b' }), status: 400, reason: 'bad_request' },
   { name: 'no tasks', body: json({ tasks: [] }), status: 400, reason: 'bad_request' },
-  { name: 'too many tasks', body: json({ tasks: tasksOf(2001, 1) }), status: 400, reason: 'bad_request' },
+  { name: 'too many tasks', body: json({ tasks: createTasks(2001, 1) }), status: 400, reason: 'bad_request' },
   { name: 'a deadline too long', body: json({ deadlineMs: 100_000_000 }), status: 400, reason: 'bad_request' },
   { name: 'a negative deadline', body: json({ deadlineMs: -1 }), status: 400, reason: 'bad_request' },
   { name: 'too many labels', body: json({ labels: Object.fromEntries(Array.from({ length: 33 }, (_, i) => [`l${i}`, 'x'])) }), status: 400, reason: 'bad_request' },
@@ -30,10 +30,10 @@
   { name: 'a wrong token', body: json({}), token: 'wrong', status: 401, reason: 'unauthorized' },
   { name: 'another workspace\'s token', body: json({}), token: callerToken('surveyor'), status: 404, reason: 'not_found' },
   { name: 'a workspace that does not exist', body: json({}), workspace: 'nobody', status: 404, reason: 'not_found' }
-])('refuses $name and runs nothing', async ({ body, token, workspace, status, reason }) => {
-  const told = await post(body, token, workspace)
-  expect(told).toMatchObject({ status, reason, run: 'not run' })
-  expect(told.message).not.toBe('')
+])('a submission is refused and runs nothing: $name', async ({ body, token, workspace, status, reason }) => {
+  const reply = await post(body, token, workspace)
+  expect(reply).toMatchObject({ status, reason, run: 'not run' })
+  expect(reply.message).not.toBe('')
   expect(cluster().startedKeys()).toEqual([])
 })
 
@@ -48,76 +48,76 @@
   { method: 'GET', path: '/v1/workspaces/florist/policy', status: 403, reason: 'forbidden' },
   { method: 'PUT', path: '/v1/workspaces/florist', status: 401, reason: 'unauthorized' }
 ])('$method $path gives $status $reason', async ({ method, path, status, reason }) => {
-  const told = await call(cluster().apiUrl() + path, { method }, callerToken('florist'))
-  expect(told).toMatchObject({ status, reason })
+  const reply = await call(cluster().apiUrl() + path, { method }, callerToken('florist'))
+  expect(reply).toMatchObject({ status, reason })
 })
 
 test.each([
   { body: { admit: 'job.task > 1' }, status: 400, reason: 'bad_policy', faults: [{ field: 'admit', line: 1, column: 5 }] },
   { body: { admit: 'true', seenVersion: '99' }, status: 409, reason: 'version_conflict', seenVersion: '99' },
   { body: { admitted: 'true' }, status: 400, reason: 'bad_request' }
-])('a policy that cannot be accepted is refused: $reason', async ({ body, ...expected }) => {
+])('a policy update that cannot be accepted is refused with $reason', async ({ body, ...expected }) => {
   const url = `${cluster().apiUrl()}/v1/workspaces/florist/policy`
   expect(await call(url, { method: 'PUT', body: JSON.stringify(body) }, operatorToken('florist'))).toMatchObject(expected)
 })
 
-test('gives each caller its own whole answer, in the order of the tasks', async () => {
+test('each concurrent caller gets the complete answer of its own job, in task order', async () => {
   const jobs = Array.from({ length: 10 }, (_, n) => ({
     id: `own-${n}`, tasks: Array.from({ length: 12 }, (_, t) => ({ payload: JSON.stringify({ ms: (t * 37 + n * 13) % 60, value: `${n}:${t}` }) }))
   }))
-  const told = await Promise.all(jobs.map((job, n) => submit(cluster(), job, { entry: n % 2 })))
-  for (const [n, { results }] of told.entries()) {
+  const replies = await Promise.all(jobs.map((job, n) => submit(cluster(), job, { entry: n % 2 })))
+  for (const [n, { results }] of replies.entries()) {
     expect(results.map((result) => JSON.parse(result).value)).toEqual(Array.from({ length: 12 }, (_, t) => `${n}:${t}`))
   }
 })
 
-test('a resubmission at any entry gets the same answer, and another body under the id a conflict', async () => {
-  const job = { id: 'again', tasks: tasksOf(5, 100) }
-  const told = await Promise.all([0, 1, 0, 1].map((entry) => submit(cluster(), job, { entry })))
-  expect(new Set(told.map(({ results }) => results.join())).size).toBe(1)
-  expect(told[0]).toMatchObject({ status: 200, state: 'complete' })
+test('a resubmission at any entry gets the same answer, and a different body under the same id gets a conflict', async () => {
+  const job = { id: 'again', tasks: createTasks(5, 100) }
+  const replies = await Promise.all([0, 1, 0, 1].map((entry) => submit(cluster(), job, { entry })))
+  expect(new Set(replies.map(({ results }) => results.join())).size).toBe(1)
+  expect(replies[0]).toMatchObject({ status: 200, state: 'complete' })
   for (const entry of [0, 1]) {
-    expect(await submit(cluster(), { ...job, tasks: tasksOf(6, 100) }, { entry })).toMatchObject({ status: 409, reason: 'id_conflict' })
+    expect(await submit(cluster(), { ...job, tasks: createTasks(6, 100) }, { entry })).toMatchObject({ status: 409, reason: 'id_conflict' })
   }
   expect(cluster().startedTwice()).toEqual([])
 })
 
-test('takes 202 and answers later, at any entry', async () => {
-  expect(await submit(cluster(), { id: 'later', tasks: tasksOf(3, 300) }, { waitMs: 0 })).toMatchObject({ status: 202, state: 'running' })
-  expect(await ask(cluster(), 'later', { entry: 1, waitMs: 0 })).toMatchObject({ status: 202 })
-  expect(await ask(cluster(), 'later', { entry: 1 })).toMatchObject({ status: 200, state: 'complete' })
+test('a submission without waiting returns 202, and any entry returns the answer later', async () => {
+  expect(await submit(cluster(), { id: 'later', tasks: createTasks(3, 300) }, { waitMs: 0 })).toMatchObject({ status: 202, state: 'running' })
+  expect(await getJob(cluster(), 'later', { entry: 1, waitMs: 0 })).toMatchObject({ status: 202 })
+  expect(await getJob(cluster(), 'later', { entry: 1 })).toMatchObject({ status: 200, state: 'complete' })
 })
 
-test('a task that fails fails its job, with its reason', async () => {
-  const told = await submit(cluster(), { id: 'fails', tasks: [{ payload: '{"fail":true}' }, ...tasksOf(3, 50)] })
-  expect(told).toMatchObject({ status: 200, state: 'failed', reason: 'task_failed', run: 'ran', results: [] })
+test('a failed task fails its job with reason task_failed', async () => {
+  const reply = await submit(cluster(), { id: 'fails', tasks: [{ payload: '{"fail":true}' }, ...createTasks(3, 50)] })
+  expect(reply).toMatchObject({ status: 200, state: 'failed', reason: 'task_failed', run: 'ran', results: [] })
 })
 
-test('cancels at the other entry; the answer is final', async () => {
-  await submit(cluster(), { id: 'cancelled', tasks: tasksOf(60, 2000) }, { waitMs: 0 })
+test('a job cancelled at another entry than its owner gets a final answer with reason cancelled', async () => {
+  await submit(cluster(), { id: 'cancelled', tasks: createTasks(60, 2000) }, { waitMs: 0 })
   expect(await cancel(cluster(), 'cancelled', { entry: 1 })).toMatchObject({ status: 200, state: 'failed', reason: 'cancelled' })
-  expect(await ask(cluster(), 'cancelled')).toMatchObject({ status: 200, reason: 'cancelled' })
+  expect(await getJob(cluster(), 'cancelled')).toMatchObject({ status: 200, reason: 'cancelled' })
 })
 
-test('a job with a deadline that cannot be met fails at once, or at its deadline', async () => {
-  const told = await submit(cluster(), { id: 'late', tasks: tasksOf(24, 5000), deadlineMs: 400 })
-  expect(['deadline', 'deadline_unreachable']).toContain(told.reason)
+test('a job whose deadline cannot be met fails at once or at its deadline', async () => {
+  const reply = await submit(cluster(), { id: 'late', tasks: createTasks(24, 5000), deadlineMs: 400 })
+  expect(['deadline', 'deadline_unreachable']).toContain(reply.reason)
 })
 
-test('a policy is in force at every entry once its put returns, and decides about jobs', async () => {
+test('a policy applies to submissions at every entry once its PUT has returned', async () => {
   const url = `${cluster().apiUrl(1)}/v1/workspaces/surveyor/policy?waitMs=5000`
   const body = JSON.stringify({ admit: 'job.tasks <= 2', reason: '"at most two tasks"' })
   expect(await call(url, { method: 'PUT', body }, operatorToken('surveyor'))).toMatchObject({ status: 200, pending: [] })
   for (const entry of [0, 1]) {
-    expect(await submit(cluster(), { id: `big-${entry}`, tasks: tasksOf(3, 1) }, { entry, workspace: 'surveyor' }))
+    expect(await submit(cluster(), { id: `big-${entry}`, tasks: createTasks(3, 1) }, { entry, workspace: 'surveyor' }))
       .toMatchObject({ status: 403, reason: 'policy_denied', run: 'not run', message: 'at most two tasks' })
     expect(await submit(cluster(), { id: `small-${entry}` }, { entry, workspace: 'surveyor' })).toMatchObject({ status: 200 })
   }
 })
 
-test('one workspace sees nothing of another', async () => {
+test('a workspace cannot read or cancel the jobs of another, and metrics name no workspace', async () => {
   await submit(cluster(), { id: 'private' })
-  expect(await ask(cluster(), 'private', { workspace: 'surveyor' })).toMatchObject({ status: 404, reason: 'not_found' })
+  expect(await getJob(cluster(), 'private', { workspace: 'surveyor' })).toMatchObject({ status: 404, reason: 'not_found' })
   expect(await cancel(cluster(), 'private', { workspace: 'surveyor' })).toMatchObject({ status: 404 })
   expect(await submit(cluster(), { id: 'private' }, { workspace: 'surveyor' })).toMatchObject({ status: 200, state: 'complete' })
   const metrics = await (await fetch(`${cluster().apiUrl()}/metrics`)).text()
@@ -127,9 +127,9 @@
   expect(listed).toMatchObject({ status: 404 })
 })
 
-test('status shows all entries, endpoints and the version in force', async () => {
-  const told = await call(`${cluster().apiUrl()}/v1/status`, {}, ADMIN_TOKEN) as unknown as { entries: { configVersion: string, endpoints: object[] }[] }
-  expect(told.entries).toHaveLength(2)
-  expect(new Set(told.entries.map(({ configVersion }) => configVersion)).size).toBe(1)
-  expect(told.entries[0]!.endpoints).toHaveLength(3)
+test('the status lists all entries, their endpoints and the configuration version in force', async () => {
+  const reply = await call(`${cluster().apiUrl()}/v1/status`, {}, ADMIN_TOKEN) as unknown as { entries: { configVersion: string, endpoints: object[] }[] }
+  expect(reply.entries).toHaveLength(2)
+  expect(new Set(reply.entries.map(({ configVersion }) => configVersion)).size).toBe(1)
+  expect(reply.entries[0]!.endpoints).toHaveLength(3)
 })
--- a/tests/failures/configRaces.test.ts
+++ b/tests/failures/configRaces.test.ts
@@ -2,37 +2,37 @@
 import { operatorToken } from '@hazellift/standins'
 import type { Cluster } from '@hazellift/standins'
 import { expect, test } from 'vitest'
-import { call, clusterRunner, submit, tasksOf } from '../support.js'
+import { call, clusterRunner, createTasks, submit } from '../support.js'
 
-interface PutTold { status: number, version?: string, inForce?: string[], pending?: string[], currentVersion?: string }
+interface PolicyReply { status: number, version?: string, inForce?: string[], pending?: string[], currentVersion?: string }
 
 const withCluster = clusterRunner({ entries: 3, workers: 1, entryArgs: ['--config-poll-ms', '200'] })
 
 const policyUrl = (cluster: Cluster, entry: number): string => `${cluster.apiUrl(entry)}/v1/workspaces/florist/policy`
 
-const putPolicy = async (cluster: Cluster, entry: number, change: object): Promise<PutTold> =>
-  await call(`${policyUrl(cluster, entry)}?waitMs=3000`, { method: 'PUT', body: JSON.stringify(change) }, operatorToken('florist')) as unknown as PutTold
+const putPolicy = async (cluster: Cluster, entry: number, change: object): Promise<PolicyReply> =>
+  await call(`${policyUrl(cluster, entry)}?waitMs=3000`, { method: 'PUT', body: JSON.stringify(change) }, operatorToken('florist')) as unknown as PolicyReply
 
 const getPolicy = async (cluster: Cluster, entry: number): Promise<{ version: string, admit: string, priority: string }> =>
   await call(policyUrl(cluster, entry), {}, operatorToken('florist')) as never
 
-test('of operators that race from one version, one is accepted and the others are told both versions', () => withCluster(async (cluster) => {
+test('of concurrent changes based on the same version one is accepted and the others get a conflict with the current version', () => withCluster(async (cluster) => {
   let seen = '0'
   for (let round = 0; round < 5; round++) {
     const seenVersion = seen
-    const told = await Promise.all([0, 1, 2, 0, 1, 2].map((entry, n) =>
+    const replies = await Promise.all([0, 1, 2, 0, 1, 2].map((entry, n) =>
       putPolicy(cluster, entry, { priority: String(round * 10 + n), seenVersion })))
-    const accepted = told.filter(({ status }) => status === 200)
+    const accepted = replies.filter(({ status }) => status === 200)
     expect(accepted).toHaveLength(1)
-    for (const { status, currentVersion } of told) if (status !== 200) expect([status, currentVersion]).toEqual([409, accepted[0]!.version])
+    for (const { status, currentVersion } of replies) if (status !== 200) expect([status, currentVersion]).toEqual([409, accepted[0]!.version])
     seen = accepted[0]!.version!
     expect(accepted[0]!.inForce).toHaveLength(3)
-    const winner = told.findIndex(({ status }) => status === 200)
+    const winner = replies.findIndex(({ status }) => status === 200)
     for (const entry of [0, 1, 2]) expect(await getPolicy(cluster, entry)).toMatchObject({ version: seen, priority: String(round * 10 + winner) })
   }
 }))
 
-test('the acknowledgement of a change is lost: it is accepted once, and sending it again gives the same version', () => withCluster(async (cluster) => {
+test('a change whose acknowledgement is lost is accepted once, and sending it again returns the same version', () => withCluster(async (cluster) => {
   const change = { priority: '1', seenVersion: '0', operationId: 'change-1' }
   await cluster.setPlatform({ loseAcks: 3 })
   const first = await putPolicy(cluster, 0, change)
@@ -41,16 +41,16 @@
   expect(again).toMatchObject({ status: 200, version: first.version })
 }))
 
-test('a frozen entry does not hold up a change, and takes no job under the old policy for long after it wakes', () => withCluster(async (cluster) => {
+test('a suspended entry does not block a change, and applies the new policy soon after it resumes', () => withCluster(async (cluster) => {
   cluster.entries[2]!.kill('SIGSTOP')
-  const told = await putPolicy(cluster, 0, { admit: 'job.tasks < 2', seenVersion: '0' })
-  expect(told).toMatchObject({ status: 200 })
+  const reply = await putPolicy(cluster, 0, { admit: 'job.tasks < 2', seenVersion: '0' })
+  expect(reply).toMatchObject({ status: 200 })
   cluster.entries[2]!.kill('SIGCONT')
-  await cluster.waitUntil('the woken entry has the change in force', async () => (await getPolicy(cluster, 2)).version === told.version)
-  expect(await submit(cluster, { id: 'two', tasks: tasksOf(2, 1) }, { entry: 2 })).toMatchObject({ reason: 'policy_denied' })
+  await cluster.waitUntil('the resumed entry has the change in force', async () => (await getPolicy(cluster, 2)).version === reply.version)
+  expect(await submit(cluster, { id: 'two', tasks: createTasks(2, 1) }, { entry: 2 })).toMatchObject({ reason: 'policy_denied' })
 }))
 
-test('an entry that starts during an outage of the table is not ready, and never serves an older configuration', () => withCluster(async (cluster) => {
+test('an entry that starts during a table outage is not ready and never serves an older configuration', () => withCluster(async (cluster) => {
   const { version } = await putPolicy(cluster, 0, { admit: 'job.tasks < 2', seenVersion: '0' })
   const { api, session } = cluster.entries[1]!.facts as { api: string, session: string }
   cluster.entries[1]!.kill('SIGKILL')
@@ -59,14 +59,14 @@
   cluster.entries[1] = await cluster.startEntry(1, { api, session })
   await sleep(1500)
   expect((await fetch(`${cluster.apiUrl(1)}/readyz`)).status).toBe(503)
-  expect((await submit(cluster, { id: 'early', tasks: tasksOf(2, 1) }, { entry: 1 })).status).not.toBe(200)
+  expect((await submit(cluster, { id: 'early', tasks: createTasks(2, 1) }, { entry: 1 })).status).not.toBe(200)
   await cluster.setPlatform({ mode: 'ok' })
   await cluster.waitForEndpoints(1)
   expect(await getPolicy(cluster, 1)).toMatchObject({ version })
-  expect(await submit(cluster, { id: 'late', tasks: tasksOf(2, 1) }, { entry: 1 })).toMatchObject({ reason: 'policy_denied' })
+  expect(await submit(cluster, { id: 'late', tasks: createTasks(2, 1) }, { entry: 1 })).toMatchObject({ reason: 'policy_denied' })
 }))
 
-test('entries that run through an outage keep the configuration in force', () => withCluster(async (cluster) => {
+test('running entries keep the configuration in force during a table outage', () => withCluster(async (cluster) => {
   const { version } = await putPolicy(cluster, 0, { admit: 'job.tasks < 2', seenVersion: '0' })
   await cluster.setPlatform({ mode: 'hang' })
   await sleep(1500)
--- a/tests/failures/platformFailures.test.ts
+++ b/tests/failures/platformFailures.test.ts
@@ -1,17 +1,17 @@
 import { setTimeout as sleep } from 'node:timers/promises'
 import { expect, test } from 'vitest'
-import { ask, clusterRunner, startsOf, submit, submitUntilFinal, tasksOf } from '../support.js'
+import { clusterRunner, createTasks, getJob, startsOf, submit, submitUntilFinal } from '../support.js'
 
 const withCluster = clusterRunner({ relays: true })
 
-const AWAY = [{ mode: 'refuse' as const }, { mode: 'hang' as const }]
+const OUTAGE_MODES = [{ mode: 'refuse' as const }, { mode: 'hang' as const }]
 
-/** As by default, a claim is given up long before a view of the entries is old. */
-const PATIENT = { entryArgs: ['--stale-after-ms', '6000'] }
+/** As with the default settings, a claim times out long before the view of the entries becomes stale. */
+const LONG_STALE_TIME = { entryArgs: ['--stale-after-ms', '6000'] }
 
-test.each(AWAY)('the table is away ($mode): new submissions are refused as not run, claimed jobs run on, and it recovers', ({ mode }) =>
+test.each(OUTAGE_MODES)('during a table outage ($mode) new submissions are refused as not run and claimed jobs complete; afterwards submissions are accepted', ({ mode }) =>
   withCluster(async (cluster) => {
-    const claimed = submit(cluster, { id: 'claimed', tasks: tasksOf(24, 400) })
+    const claimed = submit(cluster, { id: 'claimed', tasks: createTasks(24, 400) })
     await sleep(200)
     await cluster.setPlatform({ mode })
     const refused = await submit(cluster, { id: 'new' })
@@ -22,9 +22,9 @@
     await cluster.setPlatform({ mode: 'ok' })
     expect(await submitUntilFinal(cluster, { id: 'new' }, [0, 1])).toMatchObject({ state: 'complete' })
     expect(startsOf(cluster, 'new')).toHaveLength(1)
-  }, PATIENT))
+  }, LONG_STALE_TIME))
 
-test.each(AWAY)('the table is away ($mode) for long: "not run" is said only of a first attempt', ({ mode }) => withCluster(async (cluster) => {
+test.each(OUTAGE_MODES)('during a long table outage ($mode) a refusal says "not run" only for a first attempt', ({ mode }) => withCluster(async (cluster) => {
   await cluster.setPlatform({ mode })
   await sleep(2500)
   expect(await submit(cluster, { id: 'perhaps-again' })).toMatchObject({ status: 503, run: 'may have run' })
@@ -33,19 +33,19 @@
   expect(first.retryAfterMs).toBeGreaterThan(0)
 }))
 
-test.each(AWAY)('the table is away ($mode): a resubmission at the other entry finds the job in its owner\'s memory', ({ mode }) =>
+test.each(OUTAGE_MODES)('during a table outage ($mode) a resubmission at the other entry gets the answer from the owner\'s memory', ({ mode }) =>
   withCluster(async (cluster) => {
-    const job = { id: 'known', tasks: tasksOf(3, 50) }
+    const job = { id: 'known', tasks: createTasks(3, 50) }
     const first = await submit(cluster, job, { entry: 0 })
     await cluster.setPlatform({ mode })
     await sleep(1200)
-    const told = await submit(cluster, job, { entry: 1 })
-    expect(told).toMatchObject({ status: 200, state: 'complete', results: first.results })
-    expect(await submit(cluster, { ...job, tasks: tasksOf(4, 50) }, { entry: 1 })).toMatchObject({ status: 409 })
+    const reply = await submit(cluster, job, { entry: 1 })
+    expect(reply).toMatchObject({ status: 200, state: 'complete', results: first.results })
+    expect(await submit(cluster, { ...job, tasks: createTasks(4, 50) }, { entry: 1 })).toMatchObject({ status: 409 })
   }))
 
-test('the table is away and an entry was lost: a refusal does not claim "not run"', () => withCluster(async (cluster) => {
-  const job = { id: 'ran-before', tasks: tasksOf(3, 50) }
+test('a refusal does not say "not run" if an entry was lost and the table is unreachable', () => withCluster(async (cluster) => {
+  const job = { id: 'ran-before', tasks: createTasks(3, 50) }
   await submit(cluster, job, { entry: 0 })
   cluster.entries[0]!.kill('SIGKILL')
   await cluster.setPlatform({ mode: 'refuse' })
@@ -53,18 +53,18 @@
   expect(await submit(cluster, job, { entry: 1 })).toMatchObject({ status: 503, run: 'may have run' })
 }))
 
-test('the acknowledgement of a claim is lost: the job runs once', () => withCluster(async (cluster) => {
+test('a job runs once if the acknowledgement of its claim is lost', () => withCluster(async (cluster) => {
   await cluster.setPlatform({ loseAcks: 6 })
-  const jobs = Array.from({ length: 12 }, (_, n) => ({ id: `lost-ack-${n}`, tasks: tasksOf(2, 30) }))
-  const told = await Promise.all(jobs.flatMap((job) => [0, 1].map((entry) => submit(cluster, job, { entry }))))
-  for (const { state } of told) expect(state).toBe('complete')
+  const jobs = Array.from({ length: 12 }, (_, n) => ({ id: `lost-ack-${n}`, tasks: createTasks(2, 30) }))
+  const replies = await Promise.all(jobs.flatMap((job) => [0, 1].map((entry) => submit(cluster, job, { entry }))))
+  for (const { state } of replies) expect(state).toBe('complete')
   expect(cluster.startedKeys()).toHaveLength(24)
 }))
 
-test('a claim lands after its entry gave up on it: refused as not run, it runs when submitted again, at either entry', () =>
+test('a job whose claim is written after the claim timeout is refused as not run and runs when submitted again at either entry', () =>
   withCluster(async (cluster) => {
     for (const entry of [0, 1]) {
-      const job = { id: `held-${entry}`, tasks: tasksOf(2, 30) }
+      const job = { id: `held-${entry}`, tasks: createTasks(2, 30) }
       await cluster.setPlatform({ holdWrites: 20, holdMs: 2500 })
       const refused = await submit(cluster, job, { entry: 0 })
       expect(refused).toMatchObject({ status: 503, reason: 'store_down', run: 'not run' })
@@ -76,15 +76,15 @@
     }
   }))
 
-test('the table is slow: jobs complete', () => withCluster(async (cluster) => {
+test('jobs complete if the table is slow', () => withCluster(async (cluster) => {
   await cluster.setPlatform({ writeMs: 300, readMs: 200 })
-  const told = await Promise.all([0, 1, 0, 1].map((entry, n) => submit(cluster, { id: `slow-${n}`, tasks: tasksOf(5, 50) }, { entry })))
-  for (const { state } of told) expect(state).toBe('complete')
+  const replies = await Promise.all([0, 1, 0, 1].map((entry, n) => submit(cluster, { id: `slow-${n}`, tasks: createTasks(5, 50) }, { entry })))
+  for (const { state } of replies) expect(state).toBe('complete')
 }))
 
-test('connections to the table are cut at every moment: each job runs once', () => withCluster(async (cluster) => {
-  const jobs = Array.from({ length: 60 }, (_, n) => ({ id: `cut-${n}`, tasks: tasksOf(2, 20), unrepeatable: n % 2 === 0 }))
-  const told = jobs.map(async (job, n) => {
+test('each job runs once if connections to the table are cut repeatedly', () => withCluster(async (cluster) => {
+  const jobs = Array.from({ length: 60 }, (_, n) => ({ id: `cut-${n}`, tasks: createTasks(2, 20), unrepeatable: n % 2 === 0 }))
+  const replies = jobs.map(async (job, n) => {
     await sleep(n * 30)
     return submitUntilFinal(cluster, job, [n % 2, (n + 1) % 2])
   })
@@ -92,24 +92,24 @@
     await sleep(80)
     cluster.relays.platform!.cut()
   }
-  for (const { state } of await Promise.all(told)) expect(state).toBe('complete')
+  for (const { state } of await Promise.all(replies)) expect(state).toBe('complete')
   expect(cluster.startedKeys()).toHaveLength(120)
 }))
 
-test('an unrepeatable job ends while the table is away: nobody is told until its state is saved', () => withCluster(async (cluster) => {
-  const told = submit(cluster, { id: 'booking', tasks: tasksOf(2, 600), unrepeatable: true })
+test('the answer of an unrepeatable job that ends during a table outage is withheld until its state is saved', () => withCluster(async (cluster) => {
+  const reply = submit(cluster, { id: 'booking', tasks: createTasks(2, 600), unrepeatable: true })
   await sleep(250)
   await cluster.setPlatform({ mode: 'refuse' })
-  expect(await told).toMatchObject({ status: 503, reason: 'answer_unsaved' })
+  expect(await reply).toMatchObject({ status: 503, reason: 'answer_unsaved' })
   await cluster.setPlatform({ mode: 'ok' })
-  const first = await submitUntilFinal(cluster, { id: 'booking', tasks: tasksOf(2, 600), unrepeatable: true }, [0])
+  const first = await submitUntilFinal(cluster, { id: 'booking', tasks: createTasks(2, 600), unrepeatable: true }, [0])
   expect(first).toMatchObject({ state: 'complete' })
   cluster.entries[0]!.kill('SIGKILL')
-  expect(await ask(cluster, 'booking', { entry: 1 })).toMatchObject({ state: 'complete', results: first.results })
+  expect(await getJob(cluster, 'booking', { entry: 1 })).toMatchObject({ state: 'complete', results: first.results })
 }))
 
-test('table away and owner killed together: after both, the resubmission is answered and nothing ran twice', () => withCluster(async (cluster) => {
-  const job = { id: 'together', tasks: tasksOf(6, 700), unrepeatable: true }
+test('a job whose owner is killed during a table outage is answered after the outage, and no task runs twice', () => withCluster(async (cluster) => {
+  const job = { id: 'together', tasks: createTasks(6, 700), unrepeatable: true }
   const first = submit(cluster, job, { entry: 0 })
   await sleep(300)
   await cluster.setPlatform({ mode: 'hang' })
@@ -121,65 +121,65 @@
   expect(await submitUntilFinal(cluster, job, [1])).toMatchObject({ state: 'complete' })
 }))
 
-test('a large answer is kept in the object store and given by another entry', () => withCluster(async (cluster) => {
+test('a large answer is stored in the object store and returned by another entry', () => withCluster(async (cluster) => {
   const tasks = [{ payload: JSON.stringify({ ms: 10, bytes: 60_000 }) }]
   const first = await submit(cluster, { id: 'large', tasks, unrepeatable: true })
   expect(first.results[0]!.length).toBeGreaterThan(60_000)
   cluster.entries[0]!.kill('SIGKILL')
-  expect(await ask(cluster, 'large', { entry: 1 })).toMatchObject({ state: 'complete', results: first.results })
+  expect(await getJob(cluster, 'large', { entry: 1 })).toMatchObject({ state: 'complete', results: first.results })
 }))
 
-test('heartbeats are held past the stale time while all entries live: a refusal still says "not run"', () => withCluster(async (cluster) => {
+test('a refusal still says "not run" if heartbeat writes are delayed past the stale time while all entries are alive', () => withCluster(async (cluster) => {
   await cluster.setPlatform({ holdWrites: 1000, holdMs: 15_000 })
   await sleep(7000)
   expect(await submit(cluster, { id: 'held-long' })).toMatchObject({ status: 503, reason: 'store_down', run: 'not run' })
 }))
 
-const ENDS = [
-  { how: 'stops gracefully', signal: 'SIGTERM', again: false },
-  { how: 'is killed and starts again at its old address', signal: 'SIGKILL', again: true }
+const ENTRY_STOPS = [
+  { name: 'stops gracefully', signal: 'SIGTERM', restarts: false },
+  { name: 'is killed and restarts at its old address', signal: 'SIGKILL', restarts: true }
 ] as const
 
-test.each(ENDS)('an entry $how, then the table is away: a refusal elsewhere does not say "not run" of its job', ({ signal, again }) =>
+test.each(ENTRY_STOPS)('a refusal at another entry does not say "not run" of a job whose entry $name before a table outage', ({ signal, restarts }) =>
   withCluster(async (cluster) => {
-    const job = { id: 'ran-there', tasks: tasksOf(3, 50) }
+    const job = { id: 'ran-there', tasks: createTasks(3, 50) }
     expect(await submit(cluster, job, { entry: 0 })).toMatchObject({ state: 'complete' })
     const { api, session } = cluster.entries[0]!.facts as { api: string, session: string }
-    if (again) await cluster.setPlatform({ mode: 'refuse' })
+    if (restarts) await cluster.setPlatform({ mode: 'refuse' })
     cluster.entries[0]!.kill(signal)
     await cluster.entries[0]!.exited
-    await sleep(again ? 0 : 1000)
+    await sleep(restarts ? 0 : 1000)
     await cluster.setPlatform({ mode: 'refuse' })
-    if (again) cluster.entries[0] = await cluster.startEntry(0, { api, session })
-    const told = await submit(cluster, job, { entry: 1 })
-    if (told.status !== 200) expect(told).toMatchObject({ run: 'may have run' })
+    if (restarts) cluster.entries[0] = await cluster.startEntry(0, { api, session })
+    const reply = await submit(cluster, job, { entry: 1 })
+    if (reply.status !== 200) expect(reply).toMatchObject({ run: 'may have run' })
   }))
 
-test('an entry is cut off from the table while another one joins and runs the job: the first does not say "not run"', () =>
+test('an entry cut off from the table does not say "not run" of a job that ran at an entry that joined meanwhile', () =>
   withCluster(async (cluster) => {
-    const job = { id: 'ran-at-the-new-one', tasks: tasksOf(3, 50) }
+    const job = { id: 'ran-at-the-new-one', tasks: createTasks(3, 50) }
     cluster.entries.push(await cluster.startEntry(2, undefined, { platform: 'direct' }))
     await cluster.waitForEndpoints(3)
     cluster.relays.platform!.sever()
     cluster.entries.push(await cluster.startEntry(3, undefined, { platform: 'direct' }))
     expect(await submitUntilFinal(cluster, job, [3])).toMatchObject({ state: 'complete' })
-    const told = await submit(cluster, job, { entry: 1 })
-    if (told.status !== 200) expect(told).toMatchObject({ run: 'may have run' })
+    const reply = await submit(cluster, job, { entry: 1 })
+    if (reply.status !== 200) expect(reply).toMatchObject({ run: 'may have run' })
   }))
 
-test('the table goes away twice, first while a job is claimed and then while it ends: one answer, and each task once', () =>
+test('a job gets one answer and each task runs once if table outages hit its claim and its end', () =>
   withCluster(async (cluster) => {
-    const job = { id: 'two-outages', tasks: tasksOf(4, 800), unrepeatable: true }
+    const job = { id: 'two-outages', tasks: createTasks(4, 800), unrepeatable: true }
     await cluster.setPlatform({ mode: 'hang' })
     await submit(cluster, job, { entry: 0 })
     await cluster.setPlatform({ mode: 'ok' })
-    const told = submitUntilFinal(cluster, job, [0, 1])
+    const reply = submitUntilFinal(cluster, job, [0, 1])
     await cluster.waitUntil('the job runs', () => startsOf(cluster, job.id).length === 4)
     await cluster.setPlatform({ mode: 'refuse' })
     await sleep(1500)
     await cluster.setPlatform({ mode: 'ok' })
-    const answer = await told
+    const answer = await reply
     expect(answer).toMatchObject({ state: 'complete' })
     expect(startsOf(cluster, job.id)).toHaveLength(4)
-    expect(await ask(cluster, job.id, { entry: 1 })).toMatchObject({ state: 'complete', results: answer.results })
+    expect(await getJob(cluster, job.id, { entry: 1 })).toMatchObject({ state: 'complete', results: answer.results })
   }))
--- a/tests/support.ts
+++ b/tests/support.ts
@@ -3,8 +3,8 @@
 import type { ClusterOptions } from '@hazellift/standins'
 import { afterAll, beforeAll, expect } from 'vitest'
 
-/** What a caller was told about a job. */
-export interface Told {
+/** An HTTP response about a job. `status` is 0 if the connection failed; fields that the body lacks are empty. */
+export interface JobReply {
   status: number
   state: string
   reason: string
@@ -14,7 +14,7 @@
   retryAfterMs: number
 }
 
-/** What a test submits. */
+/** A job submission; a missing service or task list gets a default. */
 export interface TestJob {
   id: string
   service?: string
@@ -25,23 +25,23 @@
   labels?: Record<string, string>
 }
 
-/** Options of one submission. */
+/** Entry (by index, 0 by default) and workspace to address, and how long the entry may wait for an answer. */
 export interface SubmitOptions {
   entry?: number
   workspace?: string
   waitMs?: number
 }
 
-/** Tasks that take `ms` each. */
-export const tasksOf = (count: number, ms: number): object[] =>
+/** Creates tasks that run for `ms` each and return their index. */
+export const createTasks = (count: number, ms: number): object[] =>
   Array.from({ length: count }, (_, index) => ({ payload: JSON.stringify({ ms, value: String(index) }) }))
 
 const DEFAULT_WAIT_MS = 30_000
 
-const NO_ANSWER: Told = { status: 0, state: '', reason: '', run: '', message: '', results: [], retryAfterMs: 0 }
+const NO_ANSWER: JobReply = { status: 0, state: '', reason: '', run: '', message: '', results: [], retryAfterMs: 0 }
 
-/** Sends a request; a connection that breaks is told as status 0. */
-export const call = async (url: string, init: RequestInit, token: string): Promise<Told> => {
+/** Sends a request and returns its reply; a failed connection is returned as status 0 with the error as message. */
+export const call = async (url: string, init: RequestInit, token: string): Promise<JobReply> => {
   try {
     const res = await fetch(url, { ...init, headers: { authorization: `Bearer ${token}`, ...init.headers } })
     return { ...NO_ANSWER, ...await res.json() as object, status: res.status }
@@ -53,47 +53,47 @@
 const jobsUrl = (cluster: Cluster, { entry = 0, workspace = 'florist' }: SubmitOptions): string =>
   `${cluster.apiUrl(entry)}/v1/workspaces/${workspace}/jobs`
 
-/** Submits a job. */
-export const submit = (cluster: Cluster, job: TestJob, options: SubmitOptions = {}): Promise<Told> => {
-  const body = JSON.stringify({ service: 'order-desk', tasks: tasksOf(1, 10), ...job })
+/** Submits a job and waits for its answer, at most `waitMs`. */
+export const submit = (cluster: Cluster, job: TestJob, options: SubmitOptions = {}): Promise<JobReply> => {
+  const body = JSON.stringify({ service: 'order-desk', tasks: createTasks(1, 10), ...job })
   const url = `${jobsUrl(cluster, options)}?waitMs=${options.waitMs ?? DEFAULT_WAIT_MS}`
   return call(url, { method: 'POST', body }, callerToken(options.workspace ?? 'florist'))
 }
 
-/** Asks for a job. */
-export const ask = (cluster: Cluster, id: string, options: SubmitOptions = {}): Promise<Told> =>
+/** Gets the state of a job, waiting at most `waitMs` for its answer. */
+export const getJob = (cluster: Cluster, id: string, options: SubmitOptions = {}): Promise<JobReply> =>
   call(`${jobsUrl(cluster, options)}/${id}?waitMs=${options.waitMs ?? DEFAULT_WAIT_MS}`, {}, callerToken(options.workspace ?? 'florist'))
 
-/** Cancels a job. */
-export const cancel = (cluster: Cluster, id: string, options: SubmitOptions = {}): Promise<Told> =>
+/** Cancels a job and returns its final state. */
+export const cancel = (cluster: Cluster, id: string, options: SubmitOptions = {}): Promise<JobReply> =>
   call(`${jobsUrl(cluster, options)}/${id}`, { method: 'DELETE' }, callerToken(options.workspace ?? 'florist'))
 
-/** Submits again, at any entry that answers, until there is a final answer. */
-export const submitUntilFinal = async (cluster: Cluster, job: TestJob, entries: number[], timeoutMs = 40_000): Promise<Told> => {
+/** Submits a job at the given entries in turn until one returns its final answer (status 200). Throws after `timeoutMs`. */
+export const submitUntilFinal = async (cluster: Cluster, job: TestJob, entries: number[], timeoutMs = 40_000): Promise<JobReply> => {
   const until = Date.now() + timeoutMs
   for (let attempt = 0; Date.now() < until; attempt++) {
-    const told = await submit(cluster, job, { entry: entries[attempt % entries.length]!, waitMs: 5000 })
-    if (told.status === 200) return told
+    const reply = await submit(cluster, job, { entry: entries[attempt % entries.length]!, waitMs: 5000 })
+    if (reply.status === 200) return reply
     await sleep(200)
   }
-  throw new Error(`no final answer for ${job.id}`)
+  throw new Error(`no final answer for job ${job.id} from entries ${entries.join(', ')} within ${timeoutMs} ms`)
 }
 
-/** The tasks of a job that some endpoint started. */
+/** Keys of the tasks of a job that any endpoint started. */
 export const startsOf = (cluster: Cluster, id: string): string[] =>
   cluster.startedKeys().filter((key) => key.split('/')[1] === id)
 
-/** Short time limits, so that failures are noticed and resolved within a test. */
+/** Entry flags with short time limits, so that failures are detected and resolved within a test. */
 export const QUICK_ENTRY_ARGS = [
   '--heartbeat-ms', '300', '--stale-after-ms', '1500', '--keep-alive-ms', '200', '--session-timeout-ms', '1000',
   '--resume-window-ms', '2000', '--store-timeout-ms', '500', '--claim-timeout-ms', '1500'
 ]
-/** The same for agents. */
+/** Agent flags with short time limits, for the same purpose as QUICK_ENTRY_ARGS. */
 export const QUICK_AGENT_ARGS = [
   '--keep-alive-ms', '200', '--session-timeout-ms', '1000', '--start-age-ms', '1500', '--endpoint-silence-ms', '1500'
 ]
 
-/** A cluster that lives for the tests of one file. */
+/** Starts one cluster for all tests of a file and stops it after them. */
 export const useCluster = (options: Partial<ClusterOptions> = {}): () => Cluster => {
   let cluster: Cluster | undefined
   beforeAll(async () => {
@@ -105,15 +105,15 @@
   return () => cluster!
 }
 
-/** Runs a test against a cluster of its own, and checks at its end that no task started twice. */
-export type WithCluster = (run: (cluster: Cluster) => Promise<void>, more?: Partial<ClusterOptions>) => Promise<void>
+/** Runs a test against its own cluster and checks afterwards that no task started twice. `more` overrides the runner's options. */
+export type ClusterRunner = (run: (cluster: Cluster) => Promise<void>, more?: Partial<ClusterOptions>) => Promise<void>
 
 /**
- * Makes a runner of tests that break their cluster.
+ * Creates a runner for tests that inject faults into their own cluster.
  *
- * @param options - what each cluster is made of
+ * @param options - options of each cluster, beside the short time limits
  */
-export const clusterRunner = (options: Partial<ClusterOptions> = {}): WithCluster => async (run, more = {}) => {
+export const clusterRunner = (options: Partial<ClusterOptions> = {}): ClusterRunner => async (run, more = {}) => {
   const { entryArgs = [], agentArgs = [], ...others } = { ...options, ...more }
   const cluster = await Cluster.start({
     entries: 2,
--- a/vitest.config.ts
+++ b/vitest.config.ts
@@ -4,7 +4,7 @@
 const KNOWN_RED = new URL('KNOWN-RED.txt', import.meta.url)
 const MAX_KNOWN_RED = 3
 
-/** Full names of the tests that fail for a known fault: each line is NAME | CAUSE | ISSUE. */
+/** Reads the full names of the tests that fail for a known fault; each line of the file is NAME | CAUSE | ISSUE. */
 const readKnownRed = (): string[] => {
   if (!existsSync(KNOWN_RED)) return []
   const lines = readFileSync(KNOWN_RED, 'utf8').split('\n').filter((line) => line !== '' && !line.startsWith('#'))
@@ -20,11 +20,11 @@
 export default defineConfig({
   test: {
     include: ['packages/*/src/**/*.test.ts', 'packages/*/tests/**/*.test.ts', 'platform/tests/**/*.test.ts', 'tests/**/*.test.ts'],
-    // One that is named with -t is run, whether it is listed or not.
+    // A test that is selected with -t runs even if it is listed.
     ...(knownRed.length > 0 && { testNamePattern: new RegExp(`^(?!(?:${knownRed.map(escapePattern).join('|')})$)`) }),
     testTimeout: 60_000,
     hookTimeout: 60_000,
-    // Failure tests start several processes each; more at once would starve each other on a small machine.
+    // Each failure test starts several processes; more files at once would leave them too little CPU time on a small machine.
     maxWorkers: 3
   }
 })
