--- a/scripts/runModel.js
+++ b/scripts/runModel.js
@@ -113,7 +113,7 @@
   { file: OUTAGE, budget: 'outageEnds', guard: 'NO_END_SEEN', without: 'treating the view as unconfirmed after an entry has ended' },
   { file: OUTAGE, budget: 'outageEnds', guard: 'NO_INCARNATION', without: 'the incarnation of the process that answers' },
   { file: OUTAGE, budget: 'outageJoins', guard: 'NO_ANNOUNCEMENT', without: 'the announcement before the first claim' },
-  { file: OUTAGE, budget: 'outageJoins', guard: 'NO_READ_AFTER_ROW', without: 'reading the rows after writing the own one' },
+  { file: OUTAGE, budget: 'outageJoins', guard: 'NO_READ_AFTER_ROW', without: 'reading the rows after writing its own row' },
   { file: OUTAGE, budget: 'outageJoins', guard: 'NO_FRESH_VIEW', without: 'the bound on the view\'s age' },
   { file: OUTAGE, budget: 'outageJoins', guard: 'NO_ANNOUNCED_ONLY', without: 'being announced before answering "not run"' },
   { file: OUTAGE, budget: 'outageJoins', guard: 'NO_VIEW_WITH_LIST', without: 'checking the view at the time when the list of entries is taken from it' },
--- a/tests/failures/platformFailures.test.ts
+++ b/tests/failures/platformFailures.test.ts
@@ -137,7 +137,7 @@
 
 const ENTRY_STOPS = [
   { name: 'stops gracefully', signal: 'SIGTERM', restarts: false },
-  { name: 'is killed and restarts at its old address', signal: 'SIGKILL', restarts: true }
+  { name: 'is killed and restarts at its address', signal: 'SIGKILL', restarts: true }
 ] as const
 
 test.each(ENTRY_STOPS)('a refusal at another entry does not say "not run" of a job whose entry $name before a table outage', ({ signal, restarts }) =>
--- a/tests/failures/workerFailures.test.ts
+++ b/tests/failures/workerFailures.test.ts
@@ -25,9 +25,9 @@
 }))
 
 test.each([
-  { name: 'completes if an agent is suspended for less than the resume window', frozenMs: 1200, state: 'complete' },
-  { name: 'fails if an agent is suspended past the resume window', frozenMs: 5000, state: 'failed' }
-])('a job $name', ({ frozenMs, state }) => withCluster(async (cluster) => {
+  { name: 'for less than the resume window', frozenMs: 1200, state: 'complete' },
+  { name: 'past the resume window', frozenMs: 5000, state: 'failed' }
+])('a job ends in state $state if an agent is suspended $name', ({ frozenMs, state }) => withCluster(async (cluster) => {
   const reply = submit(cluster, { id: 'agent-frozen', tasks: createTasks(24, 900) })
   await sleep(300)
   cluster.workers[0]!.agent.kill('SIGSTOP')
--- a/tests/runtime.test.ts
+++ b/tests/runtime.test.ts
@@ -7,8 +7,8 @@
 
 describe('the runtime of the roles', () => {
   it.each([
-    { name: 'the pinned package where it exists', platform: process.platform, arch: process.arch, isPinned: process.platform === 'linux' && ['x64', 'arm64'].includes(process.arch) },
-    { name: 'the running Node.js where no package exists', platform: 'none', arch: 'x64', isPinned: false }
+    { name: 'the pinned package', platform: process.platform, arch: process.arch, isPinned: process.platform === 'linux' && ['x64', 'arm64'].includes(process.arch) },
+    { name: 'the running Node.js without a package', platform: 'none', arch: 'x64', isPinned: false }
   ])('is $name', ({ platform, arch, isPinned }) => {
     const runtime: string = findRuntime(platform, arch)
     if (isPinned) expect(runtime).toContain(`node-${platform}-${arch}`)
--- a/tests/zones.test.ts
+++ b/tests/zones.test.ts
@@ -40,8 +40,8 @@
 
 test.each([
   { name: 'evacuation of an unknown zone', args: ['evacuate', 'zone-x'], status: 1, expectedTexts: ['not_found', 'zone-a, zone-b, zone-c'] },
-  { name: 'evacuation with the token of a workspace operator', args: ['evacuate', 'zone-a'], token: operatorToken('florist'), status: 1, expectedTexts: ['not run'] },
-  { name: 'a change based on another version than the current one', args: ['evacuate', 'zone-a', '--seen-version', '99'], status: 1, expectedTexts: ['version_conflict'] }
+  { name: 'evacuation by a workspace operator', args: ['evacuate', 'zone-a'], token: operatorToken('florist'), status: 1, expectedTexts: ['not run'] },
+  { name: 'a change based on another version', args: ['evacuate', 'zone-a', '--seen-version', '99'], status: 1, expectedTexts: ['version_conflict'] }
 ])('$name is refused and changes nothing', ({ args, token, status, expectedTexts }) => {
   const { version } = getZone('zone-a')
   const res = runZones(args, token === undefined ? {} : { token })
