--- a/tests/failures/configRaces.test.ts
+++ b/tests/failures/configRaces.test.ts
@@ -52,7 +52,7 @@
 
 test('an entry that starts during a table outage is not ready and never serves an older configuration', () => withCluster(async (cluster) => {
   const { version } = await putPolicy(cluster, 0, { admit: 'job.tasks < 2', seenVersion: '0' })
-  const { api, session } = cluster.entries[1]!.facts as { api: string, session: string }
+  const { api, session } = cluster.entries[1]!.startupInfo as { api: string, session: string }
   cluster.entries[1]!.kill('SIGKILL')
   await cluster.entries[1]!.exited
   await cluster.setPlatform({ mode: 'refuse' })
