--- a/packages/coordination/tests/handoff/handOn.test.ts
+++ b/packages/coordination/tests/handoff/handOn.test.ts
@@ -4,11 +4,11 @@
 import { overlappingRuns } from '../leased/fakeEndpoint.js'
 import { HandOnNetwork } from './handOnNetwork.js'
 
-/** Delay that callers keep before they send a job again; longer than the termination bound. */
+/** Delay that callers observe before they send a job again; longer than the termination bound. */
 const RESEND_MS = 1300
 /** After this time agents and entries are connected, and echoes to agents are limited. */
 const WARM_UP_MS = 1000
-/** Time in which an entry that was suspended has its sessions open again. */
+/** Time in which the sessions of an entry that was frozen open again. */
 const RECONNECT_MS = 100
 const OBJECTIVE = { stretch: 20, slackMs: 2000, lateFactor: 3 }
 
@@ -20,7 +20,7 @@
 
 const submit = (network: HandOnNetwork, entry: number, id: string, count = 2) => network.leased.submit(entry, id, count, { objective: OBJECTIVE })
 
-const countRuns = ({ leased: { endpoints } }: HandOnNetwork): number => endpoints.reduce((sum, { endedRuns: past, openRuns: open }) => sum + past.length + open.length, 0)
+const countRuns = ({ leased: { endpoints } }: HandOnNetwork): number => endpoints.reduce((sum, { endedRuns, openRuns }) => sum + endedRuns.length + openRuns.length, 0)
 
 /** Age of the timestamp that an entry echoed last to an agent, in ms; the highest of all its agents. */
 const oldestEchoAgeMs = ({ leased: { clock, entries } }: HandOnNetwork, entry: number): number =>
@@ -33,7 +33,7 @@
  */
 const lateEchoes = ({ leased: { entries } }: HandOnNetwork): number[] =>
   [...entries[1]!.dispatcher.fleet.agents.values()].flatMap(({ echoedStampMs, sent }) =>
-    [...sent.values()].flatMap(({ job: { originEntry: sponsor } }) => sponsor !== undefined && echoedStampMs > sponsor.aliveAt ? [echoedStampMs - sponsor.aliveAt] : []))
+    [...sent.values()].flatMap(({ job: { originEntry } }) => originEntry !== undefined && echoedStampMs > originEntry.aliveAt ? [echoedStampMs - originEntry.aliveAt] : []))
 
 /** Advances the time in small steps and checks after each that no echo is late. */
 const advanceCheckingEchoes = async (network: HandOnNetwork, ms: number): Promise<void> => {
@@ -45,7 +45,7 @@
 
 /** When entry 1 last knew the origin entry of its hosted jobs to be alive, on the common clock. */
 const originAliveAt = ({ leased: { entries } }: HandOnNetwork): number => Math.max(...[...entries[1]!.dispatcher.fleet.agents.values()]
-  .flatMap(({ sent }) => [...sent.values()].map(({ job: { originEntry: sponsor } }) => sponsor?.aliveAt ?? -Infinity)))
+  .flatMap(({ sent }) => [...sent.values()].map(({ job: { originEntry } }) => originEntry?.aliveAt ?? -Infinity)))
 
 describe('jobs handed on to another entry', () => {
   it('an entry with a late event loop hands its jobs on to its neighbour, which runs each of them once', async () => {
@@ -101,9 +101,9 @@
   /** Faults while a job that was handed on runs at the neighbour. */
   const faults: Array<{ name: string, act: (network: HandOnNetwork) => void | Promise<void>, returned: string[] }> = [
     { name: 'the neighbour dies', act: (network) => network.kill(1), returned: ['entry_lost placed'] },
-    { name: 'the neighbour is suspended', act: (network) => network.freeze(1, true), returned: ['entry_lost placed'] },
+    { name: 'the neighbour is frozen', act: (network) => network.freeze(1, true), returned: ['entry_lost placed'] },
     {
-      name: 'the neighbour is suspended, and resumes with the frames that were sent to it',
+      name: 'the neighbour is frozen, and resumes with the frames that were sent to it',
       act: async (network) => {
         network.freeze(1, true)
         await network.advance(1250)
@@ -149,17 +149,17 @@
     network.kill(1)
     await network.advance(1300)
     expect(network.leased.jobEnds.get('j')).toMatchObject({ type: 'failed', reason: REASONS.handOnLost })
-    expect(network.leased.endpoints.flatMap(({ openRuns: open }) => open)).toEqual([])
+    expect(network.leased.endpoints.flatMap(({ openRuns }) => openRuns)).toEqual([])
   })
 
   /** Losses of the origin entry, after which the caller sends the job again, to the neighbour or to a third entry. */
   const losses: Array<{ name: string, act: (network: HandOnNetwork) => void }> = [
     { name: 'the origin entry dies', act: (network) => network.kill(0) },
     { name: 'the origin entry dies, and the neighbour is not notified', act: (network) => { network.cutStream({ toHost: true }); network.kill(0) } },
-    { name: 'the origin entry dies, and the neighbour is suspended', act: (network) => { network.kill(0); network.freeze(1, true) } },
+    { name: 'the origin entry dies, and the neighbour is frozen', act: (network) => { network.kill(0); network.freeze(1, true) } },
     { name: 'the origin entry and the neighbour die', act: (network) => { network.kill(0); network.kill(1) } },
     {
-      name: 'the origin entry dies, and the neighbour is suspended shortly before it would have cancelled the job',
+      name: 'the origin entry dies, and the neighbour is frozen shortly before it would have cancelled the job',
       act: (network) => {
         network.cutStream({ toHost: true })
         network.kill(0)
@@ -230,7 +230,7 @@
         network.leased.clock.after(50 + draw(1000), healAll)
       }
       const [first] = waiting
-      // A caller leaves, and sends its job again after the delay that callers have to keep.
+      // A caller leaves, and sends its job again after the delay that callers must observe.
       if (first !== undefined && random() < 0.3) {
         first[1].leave()
         waiting.delete(first[0])
