--- a/packages/standins/src/cluster/cluster.ts
+++ b/packages/standins/src/cluster/cluster.ts
@@ -14,14 +14,14 @@
 import { startRelay } from './relay.js'
 import type { Relay } from './relay.js'
 
-/** An agent with its endpoint. */
+/** An agent and the endpoint beside it. */
 export interface Worker {
   index: number
   agent: Program
   endpoint: Program
 }
 
-/** What a cluster is made of. */
+/** Size and settings of a {@link Cluster}. */
 export interface ClusterOptions {
   entries: number
   workers: number
@@ -29,22 +29,24 @@
   slots?: number
   connections?: number
   zones?: string[]
-  /** Further flags of entries and agents. */
+  /** Additional flags of every entry. */
   entryArgs?: string[]
+  /** Additional flags of every agent. */
   agentArgs?: string[]
-  /** Namespaces that the programs log. */
+  /** Log namespaces that entries and agents print; empty for none. */
   log?: string
+  /** Created once the endpoints are connected; `florist` if unset. */
   workspaces?: ClusterWorkspace[]
-  /** Puts a relay before each entry's session port, the platform and each endpoint, so that connections can be cut. */
+  /** Places a relay in front of each entry's session port, the platform and each endpoint, so that tests can cut connections. */
   relays?: boolean
 }
 
-/** How an entry reaches the platform. */
+/** Whether an entry connects to the platform through the relay, if there is one. */
 export interface EntryRoute {
   platform: 'relay' | 'direct'
 }
 
-/** Relays of a cluster, where it has them. */
+/** Relays of a cluster; empty if it was started without them. */
 export interface ClusterRelays {
   platform: Relay | undefined
   /** By index of the entry. */
@@ -53,13 +55,13 @@
   endpoints: Relay[]
 }
 
-/** A workspace that exists once the cluster is up. */
+/** A workspace that is created when the cluster starts. */
 export interface ClusterWorkspace {
   name: string
   body?: object
 }
 
-/** Tokens of the cluster's tests. */
+/** Admin token of every cluster. */
 export const ADMIN_TOKEN = 'admin-token-for-trials'
 const CLUSTER_TOKEN = 'cluster-token-for-trials'
 const READY_TIMEOUT_MS = 30_000
@@ -77,13 +79,13 @@
   endpoint: join(moduleDir, '..', 'endpoint', 'main.js')
 }
 
-/** Token of a workspace's callers in trials. */
+/** Token of a workspace's callers in tests and measurements. */
 export const callerToken = (workspace: string): string => `caller-token-of-${workspace}`
 
-/** Token of a workspace's operators in trials. */
+/** Token of a workspace's operators in tests and measurements. */
 export const operatorToken = (workspace: string): string => `operator-token-of-${workspace}`
 
-/** All programs of a deployment, as separate processes on loopback. */
+/** A whole deployment on loopback: platform, entries, agents and endpoints, each as a separate process. */
 export class Cluster {
   readonly entries: Program[] = []
   readonly workers: Worker[] = []
@@ -94,7 +96,7 @@
 
   private constructor (private readonly options: ClusterOptions) {}
 
-  /** Starts a cluster and waits until every entry sees every endpoint. */
+  /** Starts a cluster and waits until every entry knows every endpoint and all workspaces exist. */
   static async start (options: ClusterOptions): Promise<Cluster> {
     const cluster = new Cluster(options)
     try {
@@ -113,10 +115,10 @@
   }
 
   /**
-   * Starts an entry, or starts it again on its old ports.
+   * Starts an entry, or restarts it on the ports of its previous process.
    *
-   * @param addresses - addresses of its earlier process
-   * @param route - whether it reaches the platform through the relay, if there is one
+   * @param addresses - addresses of the previous process; free ports are used if unset
+   * @param route - whether it connects to the platform through the relay, if there is one
    */
   async startEntry (index: number, addresses?: { api: string, session: string }, route: EntryRoute = { platform: 'relay' }): Promise<Program> {
     const { zones = DEFAULT_ZONES, entryArgs = [], log = 'hazellift:*' } = this.options
@@ -137,7 +139,7 @@
     return program
   }
 
-  /** Starts an agent. */
+  /** Starts an agent that uses all running entries as seeds. */
   async startAgent (index: number, port = '0'): Promise<Program> {
     const { zones = DEFAULT_ZONES, agentArgs = [], log = 'hazellift:*' } = this.options
     const running = this.entries.map((entry, entryIndex) => ({ entry, relay: this.relays.sessions[entryIndex] }))
@@ -149,7 +151,7 @@
     ])
   }
 
-  /** Starts an endpoint beside an agent. */
+  /** Starts an endpoint that announces itself to an agent. */
   async startEndpoint (index: number, agent: Program): Promise<Program> {
     const { service = 'order-desk', slots = 8, connections = 64 } = this.options
     const relay = this.options.relays ? this.relays.endpoints[index] ?? await startRelay() : undefined
@@ -165,7 +167,7 @@
     return program
   }
 
-  /** The API at one entry, with a caller's token unless another is given. */
+  /** Client of one entry's API, with the token of a caller of `florist` by default. */
   api (index = 0, token = callerToken('florist')): ApiClient {
     return createApiClient({ url: this.apiUrl(index), token })
   }
@@ -175,34 +177,34 @@
     return `http://${this.entries[index]!.startupInfo['api']}`
   }
 
-  /** Sets faults of the platform. */
+  /** Sets faults of the stand-in platform. */
   async setPlatform (faults: Partial<PlatformFaults>): Promise<void> {
     await this.control(this.platform.startupInfo['platform']!, faults)
   }
 
-  /** Sets the behaviour of an endpoint. */
+  /** Sets the behaviour of a stand-in endpoint. */
   async setEndpoint (index: number, behaviour: Partial<EndpointBehaviour>): Promise<void> {
     await this.control(this.workers[index]!.endpoint.startupInfo['endpoint']!, behaviour)
   }
 
-  /** Keys of all tasks that any endpoint started, as often as they were; read from the endpoints' own records. */
+  /** Key of every task start at any endpoint, once per start, read from the files in which the endpoints record them. */
   startedKeys (): string[] {
     return Array.from({ length: this.options.workers }, (_, index) => this.startedKeysOf(index)).flat()
   }
 
-  /** The same of one endpoint. */
+  /** Key of every task start at one endpoint, once per start, read from its record file. */
   startedKeysOf (index: number): string[] {
     const file = this.recordFile(index)
     return existsSync(file) ? readFileSync(file, 'utf8').split('\n').filter((line) => line !== '') : []
   }
 
-  /** Keys that were started more than once. */
+  /** Keys of the tasks that were started more than once, counted over all endpoints. */
   startedTwice (): string[] {
     const seen = new Set<string>()
     return this.startedKeys().filter((key) => seen.size === seen.add(key).size)
   }
 
-  /** Waits until every running entry is ready and sees this many endpoints. */
+  /** Waits until every running entry is ready and knows exactly this number of endpoints. */
   async waitForEndpoints (count: number): Promise<void> {
     await this.waitUntil(`${count} endpoints at every entry`, async () => {
       const running = this.entries.filter((entry) => entry.isRunning())
@@ -211,16 +213,21 @@
     })
   }
 
-  /** Waits for a condition, and fails with its name if it does not come. */
+  /**
+   * Polls a condition until it holds.
+   *
+   * @param description - names the condition in the error
+   * @throws Error with recent logs if the condition does not hold within `timeoutMs`
+   */
   async waitUntil (description: string, condition: () => Promise<boolean> | boolean, timeoutMs = READY_TIMEOUT_MS): Promise<void> {
     const deadline = Date.now() + timeoutMs
     while (!await condition()) {
-      if (Date.now() > deadline) throw new Error(`waited in vain for ${description}\n${this.recentLogs()}`)
+      if (Date.now() > deadline) throw new Error(`timed out after ${timeoutMs} ms waiting for ${description}\n${this.recentLogs()}`)
       await sleep(POLL_MS)
     }
   }
 
-  /** Ends every program that this cluster started. */
+  /** Kills every process of this cluster, closes the relays and removes the record files. */
   async stop (): Promise<void> {
     for (const program of this.programs) {
       if (!program.isRunning()) continue
@@ -233,7 +240,7 @@
     rmSync(this.recordDir, { recursive: true, force: true })
   }
 
-  /** Creates a workspace with a caller's and an operator's token. */
+  /** Creates a workspace with a token for callers and one for operators. */
   async putWorkspace ({ name, body = {} }: ClusterWorkspace): Promise<void> {
     const tokens = [
       { name: 'caller', role: 'caller', token: callerToken(name) },
@@ -242,12 +249,12 @@
     await this.put(ADMIN_TOKEN, `/v1/workspaces/${name}`, { tokens, ...body })
   }
 
-  /** Gives a workspace a policy. */
+  /** Sets a workspace's policy; resolves once it is in force at every entry. */
   async putPolicy (workspace: string, policy: Record<string, string>): Promise<void> {
     await this.put(operatorToken(workspace), `/v1/workspaces/${workspace}/policy`, policy)
   }
 
-  /** Changes the configuration; resolves once the change is in force at every entry. */
+  /** Changes the configuration; resolves once the change is in force at every entry, or rejects with the refusal. */
   private async put (token: string, path: string, body: object): Promise<void> {
     const res = await this.api(0, token).send({ method: 'PUT', path: `${path}?waitMs=${CONFIG_WAIT_MS}`, body: JSON.stringify(body) })
     if (!res.ok) throw new Error(`cannot put ${path}: ${JSON.stringify(res.err, (_, value) => typeof value === 'bigint' ? String(value) : value)}`)
--- a/packages/standins/src/cluster/relay.ts
+++ b/packages/standins/src/cluster/relay.ts
@@ -2,34 +2,38 @@
 import { connect, createServer } from 'node:net'
 import type { AddressInfo, Socket } from 'node:net'
 
-/** Passes connections on to a target, until it is told to cut them. */
+/** A TCP proxy on loopback that injects network faults between two processes. */
 export interface Relay {
+  /** host:port that it listens on. */
   address: string
+  /** Sets the host:port to which new connections are forwarded. */
   setTarget: (address: string) => void
-  /** Ends all connections at once; new ones pass. */
+  /** Closes all connections; new ones are forwarded. */
   cut: () => void
-  /** Ends all connections and refuses new ones, until `heal`. */
+  /** Closes all connections, and closes each new one as soon as it is accepted, until `heal`. */
   sever: () => void
-  /** Ends all connections, and nothing takes new ones, as where a process has ended, until `heal`. */
+  /** Closes all connections and stops listening, so that new ones are refused as if the process had exited, until `heal`. */
   refuse: () => void
-  /** Holds back everything that arrives, as a network that loses packets does, until `heal`. */
+  /** Stops forwarding in both directions while connections stay open, like a network that loses all packets, until `heal`. */
   freeze: () => void
-  /** Holds back what the target sends, while what is sent to it passes, until `heal`. */
+  /** Buffers what the target sends, while data to the target is forwarded, until `heal`. */
   holdAnswers: () => void
-  /** Passes everything on so much later; 0 is at once. */
+  /** Delays everything that is forwarded by `ms`; 0 for no delay. */
   delay: (ms: number) => void
+  /** Ends every fault and delay, and forwards what was held back. */
   heal: () => void
-  /** Bytes passed on so far, both ways. */
+  /** Bytes forwarded so far, in both directions. */
   bytes: () => number
+  /** Closes all connections and stops listening for good. */
   close: () => void
 }
 
-/** What becomes of bytes that pass. */
+/** State of forwarding, shared by all connections of a relay. */
 interface Traffic {
-  /** Passed on so far. */
+  /** Forwarded so far, in both directions. */
   bytes: number
   delayMs: number
-  /** What the target has sent, while it is held back. */
+  /** Writes of what the target sent while its answers are held back; unset while they are not. */
   heldAnswers: Array<() => void> | undefined
 }
 
@@ -50,9 +54,9 @@
 }
 
 /**
- * Starts a relay on loopback.
+ * Starts a relay on a free port of loopback.
  *
- * @param target - host:port, may be set later
+ * @param target - host:port to forward to; may be set later by `setTarget`
  */
 export const startRelay = async (target = ''): Promise<Relay> => {
   const sockets = new Set<Socket>()
--- a/packages/standins/src/endpoint/startEndpoint.ts
+++ b/packages/standins/src/endpoint/startEndpoint.ts
@@ -6,39 +6,40 @@
 import { setTimeout as sleep } from 'node:timers/promises'
 import { request } from 'undici'
 
-/** How the stand-in runs tasks. */
+/** How the stand-in endpoint responds to tasks. */
 export const ENDPOINT_MODES = {
+  /** Tasks run for their time and are answered. */
   ok: 'ok',
-  /** Every task is answered with status 500 at once. */
+  /** Every task is answered with status 500 immediately. */
   fail: 'fail',
-  /** No task is answered. */
+  /** No task is answered; connections stay open. */
   hang: 'hang',
-  /** Connections are cut after the task was started. */
+  /** The connection is closed after the task was recorded as started. */
   cut: 'cut'
 } as const
 
-/** What can be set while the stand-in runs. */
+/** Behaviour that `PUT /control` changes while the stand-in endpoint runs. */
 export interface EndpointBehaviour {
   mode: typeof ENDPOINT_MODES[keyof typeof ENDPOINT_MODES]
-  /** Factor on the time of every task. */
+  /** Factor by which the run time of every task is multiplied. */
   slowness: number
-  /** False stops the heartbeats, without a withdrawal. */
+  /** False stops the announcements to the agent without withdrawing the endpoint. */
   announces: boolean
 }
 
-/** What a task's payload may say, as JSON. */
+/** JSON payload of a task; a payload that is not JSON is taken as `value`. */
 interface TaskPayload {
-  /** Time that the task takes. */
+  /** Run time of the task, in ms. */
   ms?: number
-  /** Given back in the answer. */
+  /** Returned in the answer. */
   value?: string
-  /** Answer with status 500. */
+  /** The task fails: it is answered with status 500. */
   fail?: boolean
-  /** Bytes of filling in the answer. */
+  /** Bytes of padding in the answer. */
   bytes?: number
 }
 
-/** Start options of an endpoint. */
+/** Options of {@link startEndpoint}. */
 export interface EndpointOptions {
   id: string
   host: string
@@ -47,17 +48,17 @@
   slots: number
   connections: number
   heartbeatMs: number
-  /** Every start is appended here before it runs, one key a line, so that a kill loses none. */
+  /** File to which the key of each task is appended, one a line, before it runs, so that killing the process loses no record. */
   recordFile?: string
-  /** host:port to announce instead of the one listened on. */
+  /** host:port to announce instead of the address that it listens on. */
   advertise?: string
 }
 
-/** A running endpoint. */
+/** A running stand-in endpoint. */
 export interface RunningEndpoint {
   server: Server
   address: string
-  /** Withdraws, and waits for what runs. */
+  /** Withdraws from the agent and waits for running tasks. */
   stop: () => Promise<void>
 }
 
@@ -75,7 +76,7 @@
   }
 }
 
-/** Runs tasks and records each start. */
+/** Runs tasks as its behaviour says, and records every start. */
 class Endpoint {
   readonly behaviour: EndpointBehaviour = { mode: ENDPOINT_MODES.ok, slowness: 1, announces: true }
   readonly starts: { key: string, at: number }[] = []
@@ -129,7 +130,7 @@
       const res = await request(`${options.agentUrl}/endpoint`, { method, body: method === 'PUT' ? body : null })
       await res.body.dump()
     } catch {
-      // The agent is away; the next heartbeat tries again.
+      // The agent cannot be reached; the next announcement is another attempt.
     }
   }
   const loop = async (): Promise<void> => {
@@ -146,8 +147,9 @@
 }
 
 /**
- * Starts a stand-in endpoint. `PUT /control` sets its behaviour, `GET /record`
- * tells every start.
+ * Starts a stand-in endpoint on a free port and announces it to its agent.
+ * `PUT /control` sets its behaviour, `GET /record` returns every start and how
+ * many tasks run and ran at once.
  *
  * @param options - identity, agent and capacity
  */
--- a/packages/standins/src/index.ts
+++ b/packages/standins/src/index.ts
@@ -1,4 +1,4 @@
-/** Stand-ins of what surrounds hazellift, for tests and trials only. */
+/** Stand-ins for the platform and the endpoints that hazellift works with, for tests and measurements only. */
 export * from './cluster/childProcess.js'
 export * from './cluster/cluster.js'
 export * from './cluster/relay.js'
--- a/packages/standins/src/measure/centralQueue.ts
+++ b/packages/standins/src/measure/centralQueue.ts
@@ -1,6 +1,6 @@
 import type { LoadJob } from './types.js'
 
-/** Index of the smallest number. */
+/** Index of the smallest number, the first of equal ones. */
 const indexOfMin = (numbers: Float64Array): number => {
   let best = 0
   for (let index = 1; index < numbers.length; index++) if (numbers[index]! < numbers[best]!) best = index
@@ -8,12 +8,13 @@
 }
 
 /**
- * Response time of each job if one queue, first come first served, fed all
- * slots without any cost: the ideal with the load's own queueing.
+ * Response time of each job if one central first-come-first-served queue fed
+ * all slots without any overhead: the ideal, which still includes the queueing
+ * that the load itself causes.
  *
  * @param jobs - in order of arrival
  * @param slots - of all endpoints together
- * @returns ms by job id
+ * @returns response times in ms, by job id
  */
 export const centralQueueMs = (jobs: LoadJob[], slots: number): Map<string, number> => {
   const freeAt = new Float64Array(slots)
--- a/packages/standins/src/measure/createLoad.ts
+++ b/packages/standins/src/measure/createLoad.ts
@@ -11,10 +11,10 @@
 const BURST_PERIOD_MS = 3000
 const BURST_TASKS = 100
 const BURST_TASK_MS = 100
-/** Declared times are off by up to this factor either way. */
+/** Declared run times differ from the true ones by up to this factor in either direction. */
 const DECLARED_ERROR_FACTOR = 10
 
-/** Shares of jobs by size: most are small, a few have hundreds of tasks. */
+/** Shares of jobs by number of tasks: most are small, a few have hundreds. */
 const SIZE_CLASSES = [
   { share: 0.5, from: 1, to: 1 },
   { share: 0.35, from: 2, to: 12 },
@@ -44,7 +44,7 @@
   return { taskMs, declaredMs }
 }
 
-/** Mean work of a job in ms, found by drawing many. */
+/** Estimates the mean total run time of a job, in ms, from a sample. */
 const meanWorkMs = (seed: number, maxTasks: number): number => {
   const random = seededRandom(seed)
   const draws = 5000
@@ -57,7 +57,7 @@
 
 const drawJobs = (options: LoadOptions, random: Random, jobsPerMs: number): LoadJob[] => {
   const jobs: LoadJob[] = []
-  // Exponential gaps: arrivals do not wait for answers.
+  // A Poisson process: exponential gaps that do not depend on answers.
   for (let atMs = 0; atMs < options.seconds * 1000; atMs += -Math.log(1 - random()) / jobsPerMs) {
     const n = jobs.length
     jobs.push({
@@ -91,7 +91,7 @@
 }
 
 /**
- * Draws a load. The same options give the same load.
+ * Draws the jobs of a load. The same options always give the same jobs.
  *
  * @param options - seed, intensity and sizes
  * @returns jobs in order of arrival
--- a/packages/standins/src/measure/neighbours.ts
+++ b/packages/standins/src/measure/neighbours.ts
@@ -1,19 +1,19 @@
 import type { Cluster } from '../cluster/cluster.js'
 import type { LoadJob, LoadOptions } from './types.js'
 
-/** The workspace that a trial sets against the others. */
+/** The workspace that tries to degrade service for the others (a noisy neighbour). */
 export const NEIGHBOUR_WORKSPACE = 'neighbour'
 
-/** What that workspace does to the others. */
+/** How the noisy neighbour tries to degrade service for the other workspaces. */
 export const NEIGHBOURS = {
   none: 'none',
-  /** Asks for far more than it can get. */
+  /** Submits far more than its share of the capacity. */
   flood: 'flood',
-  /** Its policy fails at every submission. */
+  /** The evaluation of its policy fails at every submission. */
   throwingPolicy: 'throwing-policy',
-  /** Its policy is at the limit of cost. */
+  /** The evaluation of its policy costs about as much as is allowed. */
   costlyPolicy: 'costly-policy',
-  /** Its jobs name a service that nobody offers. */
+  /** Its jobs name a service that no endpoint offers. */
   hopeless: 'hopeless',
   /** Its tasks fail at every endpoint. */
   failing: 'failing'
@@ -42,7 +42,7 @@
   }
 }
 
-/** Jobs of the neighbour, evenly spaced and spread over the entries. */
+/** Creates the jobs of the noisy neighbour, at equal intervals and evenly over the entries. */
 export const createNeighbourJobs = ({ neighbour, seconds, entries }: LoadOptions): LoadJob[] => {
   if (neighbour === NEIGHBOURS.none) return []
   const perSecond = neighbour === NEIGHBOURS.failing ? FAILING_JOBS_PER_SECOND : JOBS_PER_SECOND
@@ -59,7 +59,7 @@
   }))
 }
 
-/** Gives the neighbour its policy, if it has one of its own. */
+/** Sets the policy of the noisy neighbour, if its behaviour needs one. */
 export const putNeighbourPolicy = async (cluster: Cluster, neighbour: Neighbour): Promise<void> => {
   const policy = POLICIES[neighbour]
   if (policy !== undefined) await cluster.putPolicy(NEIGHBOUR_WORKSPACE, policy)
--- a/packages/standins/src/measure/report.ts
+++ b/packages/standins/src/measure/report.ts
@@ -6,20 +6,20 @@
 import type { Scrape } from './scrape.js'
 import type { JobOutcome, Quantiles, TrialReport } from './types.js'
 
-/** Ratios are kept with three digits after the point. */
+/** Histograms hold integers; this factor keeps three decimal places. */
 const RATIO_SCALE = 1000
-/** Workspaces that a trial sets against the others. */
+/** Workspaces that are meant to degrade service for the others, and are left out of `quietResponseMs`. */
 const DISRUPTIVE_WORKSPACES: ReadonlySet<string> = new Set(['bursty', NEIGHBOUR_WORKSPACE])
 const KEEP_ALIVE = 'keep_alive'
 
-/** What is counted before and after a load. */
+/** Counters that are read before and after a load. */
 export interface Counts {
   entries: Scrape[]
   agents: Scrape[]
   store: { reads: number, writes: number, rowsWritten: number }
 }
 
-/** Quantiles of some numbers, NaN where there are none. */
+/** Quantiles of some numbers; NaN if there are no numbers. */
 export const quantilesOf = (values: number[]): Quantiles => {
   if (values.length === 0) return { p50: NaN, p95: NaN, p99: NaN }
   const histogram = build({ lowestDiscernibleValue: 1, highestTrackableValue: 1e9, numberOfSignificantValueDigits: 3 })
@@ -42,7 +42,7 @@
 const memoryMb = (scrapes: Scrape[]): number =>
   Math.max(...scrapes.map((metrics) => total(metrics, 'process_resident_memory_bytes'))) / 1e6
 
-/** Starts that were for nothing cost two messages, and so do credits that came for nothing: the grant and the return. */
+/** A wasted start costs two messages, and so does an unused credit: its grant and its return. */
 const wastedMessages = (kinds: Record<string, number>, reasons: Record<string, number>): number => {
   const starts = Object.values(reasons).reduce((sum, count) => sum + count, 0)
   return 2 * (starts + (kinds['return'] ?? 0))
@@ -61,17 +61,17 @@
   }
 }
 
-/** What a trial was. */
+/** The values that tell one trial of a run from another. */
 export type TrialIdentity = Pick<TrialReport, 'rule' | 'share' | 'fault'>
 
 /**
- * Puts together what a trial measured.
+ * Creates the report of a trial from outcomes and counters.
  *
- * @param identity - which trial
+ * @param identity - rule, load and fault of the trial
  * @param outcomes - of all jobs
- * @param before - counts before the load
- * @param after - counts after it
- * @param seconds - time between both
+ * @param before - counters before the load
+ * @param after - counters after the load
+ * @param seconds - time between the two readings
  * @param slots - of all endpoints together
  */
 export const createReport = (identity: TrialIdentity, outcomes: JobOutcome[], before: Counts, after: Counts, seconds: number, slots: number): TrialReport => {
@@ -81,7 +81,7 @@
   const reasonsOf = ({ entries }: Counts) => sumByLabel(entries, 'hazellift_wasted_starts_total', 'reason')
   const reasons = increase(reasonsOf(before), reasonsOf(after))
   const messages = Object.entries(kinds).reduce((sum, [kind, count]) => sum + (kind === KEEP_ALIVE ? 0 : count), 0)
-  const perThousand = (ms: number) => ms / tasks * 1000
+  const perThousandTasks = (ms: number) => ms / tasks * 1000
   return {
     ...identity,
     seconds,
@@ -93,7 +93,7 @@
     messagesByKind: kinds,
     wastedShare: wastedMessages(kinds, reasons) / messages,
     wastedByReason: reasons,
-    cpuMsPerThousand: { entry: perThousand(cpuMs(before.entries, after.entries)), agent: perThousand(cpuMs(before.agents, after.agents)) },
+    cpuMsPerThousand: { entry: perThousandTasks(cpuMs(before.entries, after.entries)), agent: perThousandTasks(cpuMs(before.agents, after.agents)) },
     memoryMb: { entry: memoryMb(after.entries), agent: memoryMb(after.agents) },
     storeReadsPerSecond: (after.store.reads - before.store.reads) / seconds,
     storeWritesPerSecond: (after.store.writes - before.store.writes) / seconds,
@@ -109,7 +109,7 @@
 const formatCounts = (counts: Record<string, number>): string =>
   Object.entries(counts).map(([key, count]) => `${key} ${count}`).join(', ')
 
-/** Prints the reports as tables. */
+/** Prints the reports as two tables, for times and costs, and a line with counts for each trial. */
 export const printReports = (reports: TrialReport[]): void => {
   const times = new Table({ head: ['load', 'rule', 'jobs', 'tasks', 'over ideal p50/p95/p99', 'over queue p50/p95/p99', 'ms p50/p95/p99', 'queue ms', 'msg/task', 'wasted'], style: { head: [], border: [] } })
   for (const r of reports) {
--- a/packages/standins/src/measure/runTrial.ts
+++ b/packages/standins/src/measure/runTrial.ts
@@ -10,7 +10,7 @@
 import { TRIAL_FAULTS } from './types.js'
 import type { LoadOptions, TrialFault, TrialReport } from './types.js'
 
-/** One trial. */
+/** Deployment, load and fault of one trial. */
 export interface TrialOptions extends Omit<LoadOptions, 'slots'> {
   rule: string
   fault: TrialFault
@@ -21,7 +21,7 @@
   agentArgs: string[]
 }
 
-/** A baseline pushes without credits, so its agents queue. */
+/** The baseline rules push tasks without credits, so agents need a queue for those beyond their slots. */
 const BASELINE_AGENT_ARGS = ['--overflow-queue', '100000', '--standing-credits', '0']
 const WARM_UP = { seconds: 2, share: 0.3, seed: 7 }
 const OUTAGE_MS = 3000
@@ -32,13 +32,13 @@
   const running = cluster.entries.filter((entry) => entry.isRunning())
   const workers = cluster.workers.filter(({ agent }) => agent.isRunning())
   return {
-    entries: await Promise.all(running.map(({ startupInfo: facts }) => scrape(facts['api']!))),
+    entries: await Promise.all(running.map(({ startupInfo }) => scrape(startupInfo['api']!))),
     agents: await Promise.all(workers.map(({ agent }) => scrape(agent.startupInfo['agent']!))),
     store: await res.body.json() as Counts['store']
   }
 }
 
-/** Causes the trial's fault a third into the load. */
+/** Injects the trial's fault after a third of the load's time. */
 const injectFault = async (cluster: Cluster, fault: TrialFault, seconds: number): Promise<void> => {
   await sleep(seconds * 1000 / 3)
   switch (fault) {
@@ -68,10 +68,11 @@
 })
 
 /**
- * Starts a deployment, loads it, and tells what was measured. Everything is
- * stopped at the end.
+ * Starts a deployment, warms it up, sends the load and reports what was
+ * measured. All processes are stopped at the end.
  *
  * @param options - deployment, load and fault
+ * @throws Error if any task was started more than once
  */
 export const runTrial = async (options: TrialOptions): Promise<TrialReport> => {
   const slots = options.workers * options.slotsPerWorker
@@ -90,7 +91,7 @@
     const seconds = (performance.now() - startedAt) / 1000
     const { rule, share, fault } = options
     const duplicates = cluster.startedTwice()
-    if (duplicates.length > 0) throw new Error(`tasks that started twice: ${duplicates.slice(0, 5).join(', ')}`)
+    if (duplicates.length > 0) throw new Error(`tasks that were started more than once: ${duplicates.slice(0, 5).join(', ')}`)
     return createReport({ rule, share, fault }, outcomes, before, await collectCounts(cluster), seconds, slots)
   } finally {
     await cluster.stop()
--- a/packages/standins/src/measure/scrape.ts
+++ b/packages/standins/src/measure/scrape.ts
@@ -1,6 +1,6 @@
 import { request } from 'undici'
 
-/** Values of one metric by its labels. */
+/** Values of one metric by the text of its labels. */
 export type Samples = Map<string, number>
 
 /** All metrics of a program, by name. */
@@ -8,7 +8,7 @@
 
 const SAMPLE_LINE = /^([a-z_:][\w:]*)(?:\{(.*)\})? (\S+)$/i
 
-/** Reads Prometheus' text format. */
+/** Parses metrics in the text format of Prometheus. */
 export const parseMetrics = (text: string): Scrape => {
   const scrape: Scrape = new Map()
   for (const line of text.split('\n')) {
@@ -22,7 +22,7 @@
   return scrape
 }
 
-/** Metrics of a program, or none if it does not answer. */
+/** Fetches the metrics of a program; empty if it does not answer. */
 export const scrape = async (address: string): Promise<Scrape> => {
   try {
     const res = await request(`http://${address}/metrics`)
@@ -32,11 +32,11 @@
   }
 }
 
-/** Sum of a metric over all its labels. */
+/** Sum of a metric over all its label values. */
 export const total = (metrics: Scrape, name: string): number =>
   [...(metrics.get(name) ?? new Map<string, number>()).values()].reduce((sum, value) => sum + value, 0)
 
-/** Sums of a metric over several programs, by the value of one label. */
+/** Sums of a metric over several programs, grouped by the value of one label. */
 export const sumByLabel = (scrapes: Scrape[], name: string, label: string): Record<string, number> => {
   const sums: Record<string, number> = {}
   for (const metrics of scrapes) {
@@ -48,6 +48,6 @@
   return sums
 }
 
-/** What grew from one set of sums to a later one. */
+/** Differences between two sets of sums, without those that are zero. */
 export const increase = (before: Record<string, number>, after: Record<string, number>): Record<string, number> =>
   Object.fromEntries(Object.entries(after).map(([key, value]) => [key, value - (before[key] ?? 0)]).filter(([, value]) => value !== 0))
--- a/packages/standins/src/measure/sendLoad.ts
+++ b/packages/standins/src/measure/sendLoad.ts
@@ -18,7 +18,7 @@
   return results?.length === tasks ? 'complete' : 'partial'
 }
 
-/** Sends one job and waits for its answer. */
+/** Submits one job to an entry and waits for its answer. */
 const sendJob = async (url: string, job: LoadJob, dispatcher: Agent): Promise<JobOutcome> => {
   const tasks = job.taskMs.map((ms, index) => ({
     payload: JSON.stringify({ ms, value: String(index), fail: job.fails }), expectedMs: job.declaredMs[index]
@@ -39,7 +39,7 @@
 }
 
 /**
- * Sends every job at its time, whether or not earlier ones are answered.
+ * Submits every job at its time of arrival, whether or not earlier ones were answered (an open load).
  *
  * @param jobs - in order of arrival
  * @param urlOf - base URL of an entry's API
--- a/packages/standins/src/measure/slopes.ts
+++ b/packages/standins/src/measure/slopes.ts
@@ -10,7 +10,7 @@
 import { sendLoad } from './sendLoad.js'
 import type { LoadJob } from './types.js'
 
-/** What a deployment spent over a while. */
+/** Resources that a deployment used during a measurement, as means per process. */
 interface ResourceUsage {
   name: string
   tasksPerSecond: number
@@ -19,7 +19,7 @@
   entryMb: number
   agentMb: number
   framesPerSecond: number
-  /** On all connections to the entries' session ports, by agent; 0 without relays. */
+  /** On all connections to the entries' session ports, divided by the number of agents; 0 without relays. */
   bytesPerSecondPerAgent: number
   readsPerSecond: number
   writesPerSecond: number
@@ -33,7 +33,7 @@
   bytes: number
 }
 
-/** What runs while the spending is measured. */
+/** Runs while resource usage is measured; returns the number of completed tasks. */
 type Workload = (cluster: Cluster) => Promise<number>
 
 const IDLE_MS = 8000
@@ -45,7 +45,7 @@
 const snapshot = async (cluster: Cluster): Promise<Snapshot> => {
   const res = await request(`http://${cluster.platform.startupInfo['platform']}/counts`)
   const { reads, writes } = await res.body.json() as { reads: number, writes: number }
-  const entries = await Promise.all(cluster.entries.map(({ startupInfo: facts }) => scrape(facts['api']!)))
+  const entries = await Promise.all(cluster.entries.map(({ startupInfo }) => scrape(startupInfo['api']!)))
   const agents = await Promise.all(cluster.workers.map(({ agent }) => scrape(agent.startupInfo['agent']!)))
   const bytes = cluster.relays.sessions.reduce((sum, relay) => sum + relay.bytes(), 0)
   return { entries, agents, reads, writes, bytes }
@@ -69,7 +69,7 @@
   entry
 })
 
-/** Keeps as many jobs open as it takes to fill the slots; gives the tasks done. */
+/** Keeps enough jobs in progress to fill all slots; returns the number of completed tasks. */
 const saturate: Workload = async (cluster) => {
   const endsAt = Date.now() + BUSY_MS
   let tasks = 0
@@ -134,9 +134,9 @@
   head: ['trial', 'tasks/s', 'entry core', 'agent core', 'entry MB', 'agent MB', 'frames/s an entry', 'bytes/s an agent', 'reads/s', 'writes/s'],
   style: { head: [], border: [] }
 })
-for (const [name, options, work] of TRIALS.filter(([name]) => name.includes(only))) {
-  const s = await measureUsage(name, options, work)
-  table.push([s.name, s.tasksPerSecond.toFixed(0), s.entryCoreShare.toFixed(4), s.agentCoreShare.toFixed(4), s.entryMb.toFixed(0),
-    s.agentMb.toFixed(0), s.framesPerSecond.toFixed(1), s.bytesPerSecondPerAgent.toFixed(0), s.readsPerSecond.toFixed(1), s.writesPerSecond.toFixed(1)])
+for (const [name, options, workload] of TRIALS.filter(([name]) => name.includes(only))) {
+  const usage = await measureUsage(name, options, workload)
+  table.push([usage.name, usage.tasksPerSecond.toFixed(0), usage.entryCoreShare.toFixed(4), usage.agentCoreShare.toFixed(4), usage.entryMb.toFixed(0),
+    usage.agentMb.toFixed(0), usage.framesPerSecond.toFixed(1), usage.bytesPerSecondPerAgent.toFixed(0), usage.readsPerSecond.toFixed(1), usage.writesPerSecond.toFixed(1)])
 }
 process.stdout.write(`${table.toString()}\n`)
--- a/packages/standins/src/measure/types.ts
+++ b/packages/standins/src/measure/types.ts
@@ -1,15 +1,15 @@
 import type { Neighbour } from './neighbours.js'
 
-/** Faults that a trial may cause while its load runs. */
+/** Faults that a trial can inject while its load runs. */
 export const TRIAL_FAULTS = {
   none: 'none',
-  /** One endpoint fails every task at once. */
+  /** One endpoint fails every task immediately. */
   failingEndpoint: 'failing-endpoint',
-  /** One endpoint takes five times as long. */
+  /** One endpoint takes five times as long for every task. */
   straggler: 'straggler',
   /** One agent and its endpoint are killed. */
   deadWorker: 'dead-worker',
-  /** The table refuses for three seconds. */
+  /** The platform refuses all calls for three seconds. */
   tableDown: 'table-down',
   /** One entry is killed. */
   deadEntry: 'dead-entry'
@@ -20,41 +20,43 @@
 export interface LoadJob {
   id: string
   workspace: string
-  /** Unset for the one that the endpoints offer. */
+  /** Unset for the service that the endpoints offer. */
   service?: string | undefined
-  /** True if its tasks fail. */
+  /** True if all its tasks fail. */
   fails?: boolean
-  /** From the start of the load, in ms. */
+  /** Time of arrival, in ms from the start of the load. */
   atMs: number
   /** True run time of each task, in ms. */
   taskMs: number[]
-  /** Declared run time of each task: far from true. */
+  /** Run time that the caller declares for each task, in ms; may be far from the true one. */
   declaredMs: number[]
   unrepeatable: boolean
+  /** Index of the entry to which it is submitted. */
   entry: number
 }
 
-/** What a load is made of. */
+/** Options from which a load is drawn. */
 export interface LoadOptions {
   seed: number
   /** Share of all slots that the load keeps busy on average. */
   share: number
   seconds: number
+  /** Of all endpoints together. */
   slots: number
   entries: number
   workspaces: number
-  /** Jobs of 100 tasks that one workspace sends together, every three seconds; 0 for none. */
+  /** Number of jobs of 100 tasks that one more workspace submits at the same time, every three seconds; 0 for none. */
   burst: number
   /** Largest job, in tasks. */
   maxTasks: number
-  /** What one more workspace does to the others. */
+  /** How one more workspace tries to degrade service for the others. */
   neighbour: Neighbour
 }
 
 /** How a job ended. */
 export interface JobOutcome {
   job: LoadJob
-  /** complete, failed:reason, refused:reason, running or broken. */
+  /** complete, partial, failed:reason, refused:reason, running (no answer in time) or broken (no response). */
   outcome: string
   responseMs: number
 }
@@ -66,7 +68,7 @@
   p99: number
 }
 
-/** Everything that one trial measured. */
+/** Results of one trial; the keys are those of the JSON report. */
 export interface TrialReport {
   rule: string
   share: number
@@ -75,22 +77,22 @@
   jobs: number
   tasks: number
   outcomes: Record<string, number>
-  /** Response time over the longest task alone. */
+  /** Response time divided by the run time of the job's longest task. */
   overIdeal: Quantiles
-  /** Response time over that of one central queue without any cost. */
+  /** Response time divided by that of one central queue without overhead. */
   overQueue: Quantiles
   responseMs: Quantiles
-  /** Of jobs of all workspaces but those that burst or are set against the others. */
+  /** Response time of jobs of all workspaces but those that send bursts or try to degrade service for the others. */
   quietResponseMs: Quantiles
-  /** Of one central queue, for the same load. */
+  /** Response time that one central queue without overhead would give for the same load. */
   queueMs: Quantiles
   messagesPerTask: number
   messagesByKind: Record<string, number>
   wastedShare: number
   wastedByReason: Record<string, number>
-  /** Processor time for each thousand tasks, in ms, by kind of program. */
+  /** CPU time in ms for each thousand tasks, by kind of program. */
   cpuMsPerThousand: Record<string, number>
-  /** Resident memory at the end, in MB, the largest of each kind. */
+  /** Resident memory at the end, in MB: the largest among the programs of each kind. */
   memoryMb: Record<string, number>
   storeReadsPerSecond: number
   storeWritesPerSecond: number
--- a/packages/standins/src/platform/faults.ts
+++ b/packages/standins/src/platform/faults.ts
@@ -1,32 +1,32 @@
-/** How the stand-in answers. */
+/** How the stand-in platform answers calls. */
 export const PLATFORM_MODES = {
   ok: 'ok',
-  /** Status 503; nothing takes effect. */
+  /** Every call is answered with status 503 and has no effect. */
   refuse: 'refuse',
-  /** No answer; nothing takes effect. */
+  /** No call is answered or has an effect. */
   hang: 'hang'
 } as const
 export type PlatformMode = typeof PLATFORM_MODES[keyof typeof PLATFORM_MODES]
 
-/** What can be set while the stand-in runs. */
+/** Faults and speed that `PUT /control` changes while the stand-in platform runs. */
 export interface PlatformFaults {
   mode: PlatformMode
-  /** Time of a write, in ms. */
+  /** Duration of a write, in ms. */
   writeMs: number
-  /** Time of a read, in ms. */
+  /** Duration of a read, in ms. */
   readMs: number
-  /** Writes a second; further ones wait. */
+  /** Writes per second; those beyond the rate wait. */
   writesPerSecond: number
-  /** Reads a second; further ones wait. */
+  /** Reads per second; those beyond the rate wait. */
   readsPerSecond: number
-  /** Acknowledgements of transactions to lose after they took effect. */
+  /** Number of next transactions whose response is lost after they took effect. */
   loseAcks: number
-  /** Transactions to hold back for `holdMs` before they take effect. */
+  /** Number of next transactions that are delayed by `holdMs` before they take effect. */
   holdWrites: number
   holdMs: number
 }
 
-/** A platform in good health: writes cost several ms. */
+/** A platform without faults, whose writes take several ms. */
 export const HEALTHY: PlatformFaults = {
   mode: PLATFORM_MODES.ok,
   writeMs: 4,
@@ -38,11 +38,11 @@
   holdMs: 0
 }
 
-/** Spaces calls out to a rate; gives each one's delay in ms. */
+/** Limits calls to a rate by spacing them at equal intervals. */
 export class CallPacer {
   private nextAt = 0
 
-  /** Ms that a call starting now must wait. */
+  /** Reserves the next interval; returns how long the call must wait for it, in ms. */
   nextDelayMs (perSecond: number): number {
     const now = performance.now()
     const startAt = Math.max(now, this.nextAt)
--- a/packages/standins/src/platform/memoryTable.ts
+++ b/packages/standins/src/platform/memoryTable.ts
@@ -2,31 +2,31 @@
 
 const compareKeys = (a: string, b: string): number => a < b ? -1 : 1
 
-/** Rows in memory, with a version that grows by one for each transaction. */
+/** An in-memory table whose version grows by one with each committed transaction. */
 export class MemoryTable {
   private readonly rows = new Map<string, TableRow>()
   private version = 0n
-  /** Keys in order; unset after a key came or went. */
+  /** All keys in order; unset after a key was added or removed. */
   private sortedKeys: string[] | undefined
 
-  /** Rows held. */
+  /** Number of rows. */
   get size (): number {
     return this.rows.size
   }
 
-  /** Rows by key. */
+  /** The rows with the given keys; keys without a row are left out. */
   read (keys: string[]): TableRow[] {
     return keys.flatMap((key) => this.rows.get(key) ?? [])
   }
 
-  /** Rows with a prefix, in key order. */
+  /** At most `limit` rows whose keys begin with `prefix` and sort behind `after`, in key order. */
   scan (prefix: string, after: string, limit: number): TableRow[] {
     this.sortedKeys ??= [...this.rows.keys()].sort(compareKeys)
     const found = this.sortedKeys.filter((key) => key.startsWith(prefix) && key > after)
     return found.slice(0, limit).map((key) => this.rows.get(key)!)
   }
 
-  /** All writes, or none and the rows that differ. */
+  /** Commits all writes if every row has its expected version; otherwise none, and returns the rows in conflict. */
   transact (writes: TableWrite[]): TransactOutcome {
     const current = writes.map(({ key }) => this.rows.get(key) ?? { key, version: 0n, value: new Uint8Array() })
     const conflicts = current.filter((row, index) => row.version !== writes[index]!.ifVersion)
--- a/packages/standins/src/platform/startPlatform.ts
+++ b/packages/standins/src/platform/startPlatform.ts
@@ -13,13 +13,13 @@
 import type { PlatformFaults } from './faults.js'
 import { MemoryTable } from './memoryTable.js'
 
-/** A running stand-in of the platform. */
+/** A running stand-in platform. */
 export interface RunningPlatform {
   server: Server
   address: string
 }
 
-/** Calls so far, for reports. */
+/** Calls so far, as `GET /counts` returns them. */
 interface CallCounts {
   reads: number
   writes: number
@@ -40,7 +40,7 @@
 const send = <Desc extends DescMessage>(res: ServerResponse, schema: Desc, message: MessageShape<Desc>): void =>
   sendJson(res, toJsonString(schema, message))
 
-/** The table service and object store of one stand-in. */
+/** State and request handlers of the table service and the object store of one stand-in. */
 class Platform {
   readonly table = new MemoryTable()
   readonly objects = new Map<string, Buffer>()
@@ -49,7 +49,7 @@
   private readonly readPacer = new CallPacer()
   private readonly writePacer = new CallPacer()
 
-  /** True once the call may go on; false if it was refused or must hang. */
+  /** Applies faults and delays to a call; resolves with false if the call was refused or is left unanswered. */
   async admit (res: ServerResponse, kind: 'read' | 'write'): Promise<boolean> {
     if (this.refuseIfUnavailable(res)) return false
     const { readMs, writeMs, readsPerSecond, writesPerSecond } = this.faults
@@ -110,6 +110,7 @@
     sendJson(res, JSON.stringify(this.faults))
   }
 
+  /** True if the call must have no effect; in mode `refuse` it is also answered with status 503. */
   private refuseIfUnavailable (res: ServerResponse): boolean {
     if (this.faults.mode === PLATFORM_MODES.refuse) res.writeHead(503).end('out of service')
     return this.faults.mode !== PLATFORM_MODES.ok
@@ -117,11 +118,11 @@
 }
 
 /**
- * Starts a stand-in of the platform's table service and object store. `PUT
- * /control` sets its faults, `GET /counts` tells its calls.
+ * Starts a stand-in for the platform's table service and object store. `PUT
+ * /control` sets its faults, `GET /counts` returns the numbers of its calls.
  *
  * @param host - address to listen on
- * @param port - 0 for a free one
+ * @param port - port to listen on, or 0 for a free one
  */
 export const startPlatform = async (host: string, port: number): Promise<RunningPlatform> => {
   const platform = new Platform()
--- a/packages/standins/src/quickstart.ts
+++ b/packages/standins/src/quickstart.ts
@@ -10,13 +10,13 @@
 const cli = join(dirname(createRequire(import.meta.url).resolve('@hazellift/entry')), 'main.js')
 const print = (text: string): void => { process.stdout.write(`${text}\n`) }
 
-/** Runs the command line as a user would; gives what it printed. */
+/** Runs the command line client as a user would and returns its standard output. */
 const hazellift = (url: string, args: string[]): string => {
   print(`\n$ hazellift ${args.join(' ')}    (entry ${url})`)
   const env = { ...process.env, HAZELLIFT_URL: url, HAZELLIFT_WORKSPACE: WORKSPACE, HAZELLIFT_TOKEN: callerToken(WORKSPACE) }
   const { status, stdout, stderr } = spawnSync(process.execPath, [cli, ...args], { env, encoding: 'utf8' })
   process.stdout.write(stdout + stderr)
-  if (status !== 0) throw new Error(`the command ended with ${status}`)
+  if (status !== 0) throw new Error(`hazellift exited with status ${status}`)
   return stdout
 }
 
