--- a/packages/agent/src/endpoint/announcedEndpoint.ts
+++ b/packages/agent/src/endpoint/announcedEndpoint.ts
@@ -11,7 +11,7 @@
 export interface AnnouncedEndpointOptions {
   clock: Clock
   host: () => Pick<TaskHost, 'setEndpoint'>
-  silenceMs: number
+  announcementTimeoutMs: number
   maxAnswerBytes: number
 }
 
@@ -19,13 +19,13 @@
 export type AnnounceOutcome = 'accepted' | 'other_endpoint'
 
 const log = createLogger('agent:endpoint')
-const gone: AttemptEnd = { outcome: TASK_OUTCOMES.notStarted, reason: REASONS.endpointGone, body: '' }
+const endpointGone: AttemptEnd = { outcome: TASK_OUTCOMES.notStarted, reason: REASONS.endpointGone, body: '' }
 
 /** The one endpoint beside this agent, known from its announcements alone. */
 export class AnnouncedEndpoint {
   private current: Announcement | undefined
   private caller: EndpointCaller | undefined
-  private cancelSilence: (() => void) | undefined
+  private cancelTimeout: (() => void) | undefined
 
   constructor (private readonly options: AnnouncedEndpointOptions) {}
 
@@ -36,10 +36,10 @@
 
   /** The endpoint announced itself, for the first time or again. */
   announce (announcement: Announcement): AnnounceOutcome {
-    const { clock, silenceMs, host, maxAnswerBytes } = this.options
+    const { clock, announcementTimeoutMs: silenceMs, host, maxAnswerBytes } = this.options
     if (this.current !== undefined && this.current.address !== announcement.address) return 'other_endpoint'
-    this.cancelSilence?.()
-    this.cancelSilence = clock.after(silenceMs, () => this.leave('silent'))
+    this.cancelTimeout?.()
+    this.cancelTimeout = clock.after(silenceMs, () => this.remove('silent'))
     const { service, slots, address, connections } = announcement
     const isSame = this.current?.service === service && this.current.slots === slots && this.current.connections === connections
     if (isSame) return 'accepted'
@@ -52,10 +52,10 @@
   }
 
   /** The endpoint withdrew, or was silent for too long. */
-  leave (reason: 'withdrew' | 'silent'): void {
+  remove (reason: 'withdrew' | 'silent'): void {
     if (this.current === undefined) return
     log('endpoint_left', { reason, service: this.current.service, address: this.current.address })
-    this.cancelSilence?.()
+    this.cancelTimeout?.()
     this.current = undefined
     this.caller?.close()
     this.caller = undefined
@@ -64,5 +64,5 @@
 
   /** Calls the endpoint. */
   run: RunAttempt = (start, endpoint, signal) =>
-    this.caller === undefined ? Promise.resolve(gone) : this.caller.run(start, endpoint, signal)
+    this.caller === undefined ? Promise.resolve(endpointGone) : this.caller.run(start, endpoint, signal)
 }
--- a/packages/agent/src/endpoint/createEndpointCaller.ts
+++ b/packages/agent/src/endpoint/createEndpointCaller.ts
@@ -8,15 +8,15 @@
 /** Errors raised before a byte of the request was sent: the task was not started. */
 const NOT_SENT_CODES = new Set(['ECONNREFUSED', 'UND_ERR_CONNECT_TIMEOUT', 'EHOSTUNREACH', 'ENETUNREACH', 'EADDRNOTAVAIL'])
 const CONNECT_TIMEOUT_MS = 1000
-const MAX_ERROR_BODY = 500
+const MAX_ERROR_BODY_CHARS = 500
 const RUN_PATH = '/run'
 
-const end = (outcome: TaskOutcome, reason: Reason | '', body: string): AttemptEnd => ({ outcome, reason, body })
+const attemptEnd = (outcome: TaskOutcome, reason: Reason | '', body: string): AttemptEnd => ({ outcome, reason, body })
 
 const classifyError = (err: unknown): AttemptEnd => {
   const isNotSent = NOT_SENT_CODES.has(errorCode(err) ?? '')
-  if (isNotSent) return end(TASK_OUTCOMES.notStarted, REASONS.endpointRefused, errorMessage(err))
-  return end(TASK_OUTCOMES.failed, REASONS.endpointReset, errorMessage(err))
+  if (isNotSent) return attemptEnd(TASK_OUTCOMES.notStarted, REASONS.endpointRefused, errorMessage(err))
+  return attemptEnd(TASK_OUTCOMES.failed, REASONS.endpointReset, errorMessage(err))
 }
 
 /** Reads the answer up to its bound. */
@@ -25,14 +25,14 @@
   let size = 0
   for await (const chunk of body) {
     size += chunk.length
-    if (size > maxBytes) return end(TASK_OUTCOMES.failed, REASONS.badAnswer, `the answer is larger than ${maxBytes} bytes`)
+    if (size > maxBytes) return attemptEnd(TASK_OUTCOMES.failed, REASONS.badAnswer, `the answer is larger than ${maxBytes} bytes`)
     chunks.push(chunk)
   }
   try {
     const text = new TextDecoder('utf-8', { fatal: true }).decode(Buffer.concat(chunks))
-    return end(TASK_OUTCOMES.done, '', text)
+    return attemptEnd(TASK_OUTCOMES.done, '', text)
   } catch {
-    return end(TASK_OUTCOMES.failed, REASONS.badAnswer, 'the answer is not UTF-8')
+    return attemptEnd(TASK_OUTCOMES.failed, REASONS.badAnswer, 'the answer is not UTF-8')
   }
 }
 
@@ -80,7 +80,7 @@
     })
     const answer = await readAnswer(res.body, options.maxAnswerBytes)
     if (res.statusCode === 200) return answer
-    return end(TASK_OUTCOMES.failed, REASONS.endpointError, `status ${res.statusCode}: ${answer.body.slice(0, MAX_ERROR_BODY)}`)
+    return attemptEnd(TASK_OUTCOMES.failed, REASONS.endpointError, `status ${res.statusCode}: ${answer.body.slice(0, MAX_ERROR_BODY_CHARS)}`)
   }
 
   return {
--- a/packages/agent/src/http/createAgentServer.ts
+++ b/packages/agent/src/http/createAgentServer.ts
@@ -15,7 +15,7 @@
   registry: Registry
   isReady: () => boolean
   /** Resolves once no task runs at the endpoint. */
-  drained: () => Promise<void>
+  waitUntilIdle: () => Promise<void>
 }
 
 const MAX_BODY_BYTES = 16_384
@@ -70,11 +70,11 @@
  *
  * @param options - endpoint, metrics and readiness
  */
-export const createAgentServer = ({ endpoint, registry, isReady, drained }: AgentServerOptions): Server => {
+export const createAgentServer = ({ endpoint, registry, isReady, waitUntilIdle: drained }: AgentServerOptions): Server => {
   const router = createRouter({ defaultRoute: (_req, res) => send(res as never, 404, 'no such path') })
   router.on('PUT', '/endpoint', (req, res) => announce(endpoint, req as never, res as never))
   router.on('DELETE', '/endpoint', async (_req, res) => {
-    endpoint.leave('withdrew')
+    endpoint.remove('withdrew')
     // The endpoint may end once it has this answer: no request of ours is under way to it then.
     await drained()
     send(res as never, 200, 'withdrawn')
--- a/packages/agent/src/startAgent.ts
+++ b/packages/agent/src/startAgent.ts
@@ -19,10 +19,10 @@
   cut: () => string[]
 }
 
-const DRAIN_CHECK_MS = 20
-const SWEEP_MS = 5000
+const DRAIN_CHECK_INTERVAL_MS = 20
+const SWEEP_INTERVAL_MS = 5000
 /** Longest wait for entries to acknowledge the last results. */
-const LAST_ACK_MS = 2000
+const FINAL_ACK_TIMEOUT_MS = 2000
 
 const log = createLogger('agent')
 
@@ -37,7 +37,7 @@
 
 const createHost = (settings: AgentSettings, metrics: Metrics) => {
   const endpoint = new AnnouncedEndpoint({
-    clock: systemClock, host: () => host, silenceMs: settings.endpointSilenceMs, maxAnswerBytes: settings.maxAnswerBytes
+    clock: systemClock, host: () => host, announcementTimeoutMs: settings.endpointSilenceMs, maxAnswerBytes: settings.maxAnswerBytes
   })
   const host: TaskHost = new TaskHost({
     clock: systemClock,
@@ -70,15 +70,15 @@
   })
 }
 
-const drainTasks = async (host: TaskHost): Promise<void> => {
-  while (host.busy > 0) await systemClock.sleep(DRAIN_CHECK_MS)
+const waitUntilIdle = async (host: TaskHost): Promise<void> => {
+  while (host.busy > 0) await systemClock.sleep(DRAIN_CHECK_INTERVAL_MS)
 }
 
 const drain = async (host: TaskHost): Promise<void> => {
   // A start that is under way while this agent ends would be lost with it.
-  while (host.busy > 0 || !host.isLeavingKnown) await systemClock.sleep(DRAIN_CHECK_MS)
-  const until = systemClock.now() + LAST_ACK_MS
-  while (host.unacked > 0 && systemClock.now() < until) await systemClock.sleep(DRAIN_CHECK_MS)
+  while (host.busy > 0 || !host.isLeavingKnown) await systemClock.sleep(DRAIN_CHECK_INTERVAL_MS)
+  const until = systemClock.now() + FINAL_ACK_TIMEOUT_MS
+  while (host.unacked > 0 && systemClock.now() < until) await systemClock.sleep(DRAIN_CHECK_INTERVAL_MS)
 }
 
 /**
@@ -90,11 +90,11 @@
   const metrics = createMetrics()
   const { host, endpoint } = createHost(settings, metrics)
   const dialer = createDialer(settings, host)
-  const server = createAgentServer({ endpoint, registry: metrics.registry, isReady: () => endpoint.isPresent, drained: () => drainTasks(host) })
+  const server = createAgentServer({ endpoint, registry: metrics.registry, isReady: () => endpoint.isPresent, waitUntilIdle: () => waitUntilIdle(host) })
   server.listen(settings.agentPort, settings.listenHost)
   await once(server, 'listening')
   const address = `${settings.listenHost}:${(server.address() as AddressInfo).port}`
-  const sweep = setInterval(() => host.sweep(), SWEEP_MS)
+  const sweep = setInterval(() => host.sweep(), SWEEP_INTERVAL_MS)
   dialer.start()
   log('listening', { agent: settings.agentId, address })
   return {
--- a/packages/common/src/createLogger.ts
+++ b/packages/common/src/createLogger.ts
@@ -43,13 +43,13 @@
  * @param namespace - the part of the program, below `hazellift:`
  */
 export const createLogger = (namespace: string): Logger => {
-  const full = `hazellift:${namespace}`
-  const write = createDebug(full)
-  write.log = (line: string) => sinkState.write(line)
+  const fullNamespace = `hazellift:${namespace}`
+  const debug = createDebug(fullNamespace)
+  debug.log = (line: string) => sinkState.write(line)
   return (event, fields) => {
-    if (!write.enabled) return
+    if (!debug.enabled) return
     // A fixed prefix instead of debug's own keeps the line pure key=value on terminals too.
-    write.log(`time=${new Date().toISOString()} ns=${full} ${formatLogLine(event, fields)}`)
+    debug.log(`time=${new Date().toISOString()} ns=${fullNamespace} ${formatLogLine(event, fields)}`)
   }
 }
 
--- a/packages/common/src/createMetrics.ts
+++ b/packages/common/src/createMetrics.ts
@@ -26,18 +26,18 @@
  *   sampling wakes the process a hundred times a second
  * @returns makers of further metrics
  */
-export const createMetrics = ({ ofProcess = true }: { ofProcess?: boolean } = {}): Metrics => {
+export const createMetrics = ({ includeProcess: includeProcess = true }: { includeProcess?: boolean } = {}): Metrics => {
   const registry = new Registry()
-  if (ofProcess) collectDefaultMetrics({ register: registry })
-  const base = ({ name, help, labels = [] }: MetricOptions) =>
+  if (includeProcess) collectDefaultMetrics({ register: registry })
+  const toConfiguration = ({ name, help, labels = [] }: MetricOptions) =>
     ({ name, help, labelNames: [...labels], registers: [registry] })
   return {
     registry,
-    counter: (options) => new Counter(base(options)),
+    counter: (options) => new Counter(toConfiguration(options)),
     gauge: (options, collect) => new Gauge({
-      ...base(options),
+      ...toConfiguration(options),
       ...(collect && { collect () { collect(this) } })
     }),
-    histogram: (options) => new Histogram({ ...base(options), buckets: [...options.buckets] })
+    histogram: (options) => new Histogram({ ...toConfiguration(options), buckets: [...options.buckets] })
   }
 }
--- a/packages/common/src/loadSettings.ts
+++ b/packages/common/src/loadSettings.ts
@@ -36,8 +36,8 @@
 const parseNumber = (field: DescField, info: SettingInfo, text: string): Result<number, string> => {
   const value = Number(text)
   if (text.trim() === '' || !Number.isFinite(value)) return fail(`'${text}' is not a number`)
-  const whole = field.fieldKind === 'scalar' && field.scalar === ScalarType.INT32
-  if (whole && !INTEGER.test(text.trim())) return fail(`'${text}' is not a whole number`)
+  const isInteger = field.fieldKind === 'scalar' && field.scalar === ScalarType.INT32
+  if (isInteger && !INTEGER.test(text.trim())) return fail(`'${text}' is not a whole number`)
   if (info.min !== undefined && value < info.min) return fail(`${value} is below ${info.min}`)
   if (info.max !== undefined && value > info.max) return fail(`${value} is above ${info.max}`)
   return ok(value)
--- a/packages/common/src/parseCommand.ts
+++ b/packages/common/src/parseCommand.ts
@@ -2,9 +2,9 @@
 import type { Command } from 'commander'
 import { EXIT_CODES } from './runProgram.js'
 
-const overrideExit = (command: Command): void => {
+const throwOnExit = (command: Command): void => {
   command.exitOverride()
-  for (const each of command.commands) overrideExit(each)
+  for (const subcommand of command.commands) throwOnExit(subcommand)
 }
 
 /**
@@ -14,7 +14,7 @@
  * @param program - with all its commands
  */
 export const parseCommand = async (program: Command): Promise<void> => {
-  overrideExit(program)
+  throwOnExit(program)
   try {
     await program.parseAsync()
   } catch (err) {
--- a/packages/common/src/runProgram.ts
+++ b/packages/common/src/runProgram.ts
@@ -34,10 +34,10 @@
  */
 export const runUntilSignal = (program: Stoppable, graceMs: number): void => {
   let stopping = false
-  let wasCut = false
+  let wasAborted = false
 
   const cut = (): void => {
-    wasCut = true
+    wasAborted = true
     for (const item of program.cut()) log('cut', { item })
   }
 
@@ -46,7 +46,7 @@
     timer.unref()
     try {
       await program.stop()
-      process.exit(wasCut ? EXIT_CODES.cut : EXIT_CODES.ok)
+      process.exit(wasAborted ? EXIT_CODES.cut : EXIT_CODES.ok)
     } catch (err) {
       log('stop_failed', { error: errorMessage(err) })
       process.exit(EXIT_CODES.internal)
--- a/packages/common/src/suspensionWatch.ts
+++ b/packages/common/src/suspensionWatch.ts
@@ -16,7 +16,7 @@
  */
 const TOLERANCE_MS = 25
 /** The clocks are read again where the process was held up between the readings for longer than this. */
-const READING_MS = 1
+const MAX_READING_MS = 1
 const MAX_READINGS = 3
 
 /**
@@ -29,18 +29,18 @@
  */
 export class SuspensionWatch {
   private readonly listeners = new Set<(suspension: Suspension) => void>()
-  private lookedAt: number
-  private dayAhead: number
-  private bootAhead: number | undefined
+  private checkedAt: number
+  private wallOffsetMs: number
+  private bootOffsetMs: number | undefined
 
   /**
    * @param clock - the steady one, the time of day and, where there is one, the time since the system's start
    */
   constructor (private readonly clock: Pick<Clock, 'now' | 'wallNow' | 'bootNow'>) {
-    const { steadyMs, aheadMs } = this.read()
-    this.lookedAt = steadyMs
-    this.dayAhead = aheadMs
-    this.bootAhead = this.readBootAhead()
+    const { steadyMs, aheadMs } = this.readClocks()
+    this.checkedAt = steadyMs
+    this.wallOffsetMs = aheadMs
+    this.bootOffsetMs = this.readBootOffset()
   }
 
   /** Calls `fn` within the look that notices a suspension. */
@@ -49,36 +49,36 @@
   }
 
   /** Compares the clocks; to be called before whatever rests on elapsed time. */
-  look (): void {
-    const { steadyMs, aheadMs } = this.read()
-    const gainedMs = aheadMs - this.dayAhead
-    const sinceMs = steadyMs - this.lookedAt
-    this.dayAhead = aheadMs
-    this.lookedAt = steadyMs
+  check (): void {
+    const { steadyMs, aheadMs } = this.readClocks()
+    const gainedMs = aheadMs - this.wallOffsetMs
+    const sinceMs = steadyMs - this.checkedAt
+    this.wallOffsetMs = aheadMs
+    this.checkedAt = steadyMs
     if (Math.abs(gainedMs) <= TOLERANCE_MS) return
-    const isCertain = this.hasBootGained()
+    const isCertain = this.hasBootClockGained()
     if (gainedMs < 0 && !isCertain) return
     for (const fn of this.listeners) fn({ gainedMs, steadyMs: sinceMs, isCertain })
   }
 
   /** Pauses between the readings would look like a gain, or hide one. */
-  private read (): { steadyMs: number, aheadMs: number } {
+  private readClocks (): { steadyMs: number, aheadMs: number } {
     for (let readings = 1; ; readings++) {
       const before = this.clock.now()
       const day = this.clock.wallNow()
       const steadyMs = this.clock.now()
-      if (steadyMs - before <= READING_MS || readings === MAX_READINGS) return { steadyMs, aheadMs: day - steadyMs }
+      if (steadyMs - before <= MAX_READING_MS || readings === MAX_READINGS) return { steadyMs, aheadMs: day - steadyMs }
     }
   }
 
   /** Read only where the other clocks differ, as it costs a file; it can confirm a suspension, and never deny one. */
-  private hasBootGained (): boolean {
-    const before = this.bootAhead
-    this.bootAhead = this.readBootAhead()
-    return before !== undefined && this.bootAhead !== undefined && this.bootAhead - before > TOLERANCE_MS
+  private hasBootClockGained (): boolean {
+    const before = this.bootOffsetMs
+    this.bootOffsetMs = this.readBootOffset()
+    return before !== undefined && this.bootOffsetMs !== undefined && this.bootOffsetMs - before > TOLERANCE_MS
   }
 
-  private readBootAhead (): number | undefined {
+  private readBootOffset (): number | undefined {
     const boot = this.clock.bootNow?.()
     return boot === undefined ? undefined : boot - this.clock.now()
   }
--- a/packages/coordination/src/health/endpointHealth.test.ts
+++ b/packages/coordination/src/health/endpointHealth.test.ts
@@ -30,7 +30,7 @@
         else if (times === 0) health.succeeded(`e${index}`, 100)
       }
     }
-    const found = failures.map((_, index) => `e${index}`).filter((id) => health.stateOf(id) === HEALTH_STATES.setAside)
+    const found = failures.map((_, index) => `e${index}`).filter((id) => health.stateOf(id) === HEALTH_STATES.ejected)
     expect(found).toEqual(ejected)
   })
 
@@ -43,7 +43,7 @@
   ])('an endpoint for which other entries count $name is ejected: $ejected', ({ ends, ejected }) => {
     const { health } = setUp(4)
     health.recordEnds('e0', ends)
-    expect(health.stateOf('e0') === HEALTH_STATES.setAside).toBe(ejected)
+    expect(health.stateOf('e0') === HEALTH_STATES.ejected).toBe(ejected)
   })
 
   test('an endpoint at which tasks of other entries run long is counted as slow', () => {
@@ -64,7 +64,7 @@
     health.sent('e0')
     expect(health.maySend('e0')).toBe(false)
     health.failed('e0')
-    expect(health.stateOf('e0')).toBe(HEALTH_STATES.setAside)
+    expect(health.stateOf('e0')).toBe(HEALTH_STATES.ejected)
     clock.now = 2 * BACKOFF_MS
     expect(health.maySend('e0')).toBe(true)
     health.sent('e0')
--- a/packages/coordination/src/health/endpointHealth.ts
+++ b/packages/coordination/src/health/endpointHealth.ts
@@ -102,7 +102,7 @@
   maySend (id: string): boolean {
     const record = this.records.get(id)
     if (record === undefined || record.state === HEALTH_STATES.healthy) return true
-    if (record.state === HEALTH_STATES.setAside && this.options.now() >= record.ejectedUntil) {
+    if (record.state === HEALTH_STATES.ejected && this.options.now() >= record.ejectedUntil) {
       record.state = HEALTH_STATES.probing
       record.probes = 0
     }
@@ -141,7 +141,7 @@
     record.failureShare = blend(record.failureShare, failed / count, FAILURE_WEIGHT, count)
     if (failed === 0) return this.endProbing(record)
     const isFailing = record.state === HEALTH_STATES.probing || this.isOutlier(record)
-    if (isFailing && record.state !== HEALTH_STATES.setAside && this.mayEject(record)) this.eject(record)
+    if (isFailing && record.state !== HEALTH_STATES.ejected && this.mayEject(record)) this.eject(record)
     else this.endProbing(record)
   }
 
@@ -169,7 +169,7 @@
 
   private eject (record: EndpointRecord): void {
     record.ejections++
-    record.state = HEALTH_STATES.setAside
+    record.state = HEALTH_STATES.ejected
     record.ejectedUntil = this.options.now() + this.options.ejectionBackoff(record.ejections)
   }
 
--- a/packages/coordination/src/leased/capacityOffers.ts
+++ b/packages/coordination/src/leased/capacityOffers.ts
@@ -70,7 +70,7 @@
     const demands: EntryDemand[] = []
     for (const [incarnation, { demandPriority }] of this.options.sessions) {
       if (demandPriority === undefined) continue
-      demands.push({ incarnation, priority: demandPriority, servedAt: this.rotation.lastServeOf(incarnation) })
+      demands.push({ incarnation, priority: demandPriority, lastServe: this.rotation.lastServeOf(incarnation) })
     }
     return demands
   }
--- a/packages/coordination/src/leased/entryLeases.ts
+++ b/packages/coordination/src/leased/entryLeases.ts
@@ -49,7 +49,7 @@
 
   /** Detects a suspension since the last check; to be called before anything that relies on a lease. */
   check (): void {
-    this.options.watch.look()
+    this.options.watch.check()
   }
 
   /** True while tasks of this entry may be started. */
--- a/packages/coordination/src/leased/leasedSessions.ts
+++ b/packages/coordination/src/leased/leasedSessions.ts
@@ -102,7 +102,7 @@
 
   /** Ends the runs of agents that were silent for so long that nothing of them runs. To be called a few tens of times a second. */
   sweep (now: number): void {
-    this.watch.look()
+    this.watch.check()
     for (const agent of [...this.options.fleet.agents.values(), ...this.replacedAgents]) this.checkLost(agent, now)
     this.config.sweep(now)
   }
@@ -127,7 +127,7 @@
 
   fillFrame (agent: LeasedAgent, frame: EntryFrame): void {
     const { fleet, clock } = this.options
-    this.watch.look()
+    this.watch.check()
     frame.echoStampMs = fleet.echoLimits.stampToEcho(agent, clock.now())
     this.config.fillFrame(agent, frame)
     this.evacuations.fillFrame(agent, frame)
@@ -142,7 +142,7 @@
 
   onFrame (agent: LeasedAgent, link: AgentLink, frame: AgentFrame): void {
     const now = this.options.clock.now()
-    this.watch.look()
+    this.watch.check()
     // If this process was paused, the time that has passed counts before the frames that arrived in the meantime.
     if (agent.link === link) this.checkLost(agent, now)
     if (agent.link !== link) return
--- a/packages/decisions/src/decisions.test.ts
+++ b/packages/decisions/src/decisions.test.ts
@@ -24,7 +24,7 @@
 })
 
 describe('offerCapacity', () => {
-  const demand = (incarnation: string, priority: number, servedAt: number): EntryDemand => ({ incarnation, priority, servedAt })
+  const demand = (incarnation: string, priority: number, servedAt: number): EntryDemand => ({ incarnation, priority, lastServe: servedAt })
   const cases: Array<{ name: string, demands: EntryDemand[], current?: CurrentOffer, expected: string | undefined }> = [
     { name: 'without demand nobody gets the offer', demands: [], expected: undefined },
     { name: 'the entry with the most urgent task gets the offer', demands: [demand('a', 1, 0), demand('b', 0, 9)], expected: 'b' },
--- a/packages/decisions/src/offerCapacity.ts
+++ b/packages/decisions/src/offerCapacity.ts
@@ -13,7 +13,7 @@
   /** Priority of its first waiting task; 0 is the most urgent. */
   readonly priority: number
   /** Increases each time an entry is served at this endpoint; 0 if this entry never was. */
-  readonly servedAt: number
+  readonly lastServe: number
 }
 
 /** The latest offer of scarce capacity at an endpoint. */
@@ -48,5 +48,5 @@
 export const offerCapacity: OfferCapacity = (demands, { holder, offeredAt }, now) => {
   const isStillOffered = now - offeredAt < CAPACITY_OFFER_MS && demands.some(({ incarnation }) => incarnation === holder)
   if (isStillOffered) return holder
-  return [...demands].sort((a, b) => a.priority - b.priority || a.servedAt - b.servedAt)[0]?.incarnation
+  return [...demands].sort((a, b) => a.priority - b.priority || a.lastServe - b.lastServe)[0]?.incarnation
 }
--- a/packages/entry/src/cli/apiClient.ts
+++ b/packages/entry/src/cli/apiClient.ts
@@ -12,7 +12,7 @@
   | { type: 'error', status: number, body: ErrorBody }
 
 /** An answer with its status, as 200 and 202 carry different messages. */
-export interface ApiAnswer {
+export interface ApiResponse {
   status: number
   text: string
 }
@@ -48,7 +48,7 @@
  * @param options - URL of an entry or of the balancer, and a token
  */
 export const createApiClient = ({ url, token }: ApiClientOptions) => {
-  const send = async ({ method, path, body, timeoutMs = DEFAULT_TIMEOUT_MS }: ApiCall): Promise<Result<ApiAnswer, ApiFault>> => {
+  const send = async ({ method, path, body, timeoutMs = DEFAULT_TIMEOUT_MS }: ApiCall): Promise<Result<ApiResponse, ApiFault>> => {
     try {
       const res = await request(new URL(path, url), {
         method,
@@ -76,4 +76,4 @@
 export type ApiClient = ReturnType<typeof createApiClient>
 
 /** A message as the body of a call. */
-export const toBody = <Desc extends DescMessage>(schema: Desc, message: MessageShape<Desc>): string => toJsonString(schema, message)
+export const encodeBody = <Desc extends DescMessage>(schema: Desc, message: MessageShape<Desc>): string => toJsonString(schema, message)
--- a/packages/entry/src/cli/configCommands.ts
+++ b/packages/entry/src/cli/configCommands.ts
@@ -11,8 +11,8 @@
 import { Command } from 'commander'
 import { ulid } from 'ulid'
 import type { ApiClient, ApiFault } from './apiClient.js'
-import { toBody } from './apiClient.js'
-import { clientCommand, clientOf, workspaceOption } from './globalOptions.js'
+import { encodeBody } from './apiClient.js'
+import { clientCommand, createClient, workspaceOption } from './globalOptions.js'
 import type { GlobalOptions } from './globalOptions.js'
 import { print, printFailure, printFault, printJson, printTable } from './output.js'
 import { readDocument } from './readDocument.js'
@@ -28,11 +28,11 @@
   file: string
 }
 
-interface Named extends GlobalOptions {
+interface WorkspaceOptions extends GlobalOptions {
   workspace: string
 }
 
-const WAIT_MS = 14_000
+const CHANGE_WAIT_MS = 14_000
 
 const printAccepted = ({ version, inForce, pending }: ConfigAccepted, options: ChangeOptions): void => {
   print(`version ${version} accepted, in force at ${inForce.join(', ') || 'no entry yet'}`)
@@ -40,16 +40,16 @@
 }
 
 /** Sends a change, made from the version given or else from the one in force now. */
-export const put = async <Desc extends DescMessage>(
+export const putConfig = async <Desc extends DescMessage>(
   options: ChangeOptions, path: string, schema: Desc, spec: MessageShape<Desc> & { seenVersion: bigint, operationId: string },
   currentVersion: (client: ApiClient) => Promise<bigint>
 ): Promise<void> => {
-  const client = clientOf(options)
+  const client = createClient(options)
   spec.seenVersion = options.seenVersion === undefined ? await currentVersion(client) : BigInt(options.seenVersion)
   spec.operationId ||= ulid()
-  const waitMs = options.wait ? WAIT_MS : 0
+  const waitMs = options.wait ? CHANGE_WAIT_MS : 0
   const res = await client.call(ConfigAcceptedSchema, {
-    method: 'PUT', path: `${path}?waitMs=${waitMs}`, body: toBody(schema, spec), timeoutMs: waitMs + WAIT_MS
+    method: 'PUT', path: `${path}?waitMs=${waitMs}`, body: encodeBody(schema, spec), timeoutMs: waitMs + CHANGE_WAIT_MS
   })
   if (!res.ok) return printFault(res.err)
   if (options.json) return printJson(ConfigAcceptedSchema, res.value)
@@ -60,7 +60,7 @@
   const spec = readDocument(PolicySpecSchema, options.file)
   if (!spec.ok) return printFailure(spec.err, EXIT_CODES.usage)
   const path = `/v1/workspaces/${options.workspace}/policy`
-  await put(options, path, PolicySpecSchema, spec.value, async (client) => {
+  await putConfig(options, path, PolicySpecSchema, spec.value, async (client) => {
     const res = await client.call(PolicyRecordSchema, { method: 'GET', path })
     return res.ok ? res.value.version : 0n
   })
@@ -70,38 +70,38 @@
   const spec = readDocument(WorkspaceSpecSchema, options.file)
   if (!spec.ok) return printFailure(spec.err, EXIT_CODES.usage)
   const path = `/v1/workspaces/${options.workspace}`
-  await put(options, path, WorkspaceSpecSchema, spec.value, async (client) => {
+  await putConfig(options, path, WorkspaceSpecSchema, spec.value, async (client) => {
     const res = await client.call(WorkspaceViewSchema, { method: 'GET', path })
     return res.ok ? res.value.version : 0n
   })
 }
 
-const show = <Desc extends DescMessage>(schema: Desc, res: Result<MessageShape<Desc>, ApiFault>): void => {
+const printResponse = <Desc extends DescMessage>(schema: Desc, res: Result<MessageShape<Desc>, ApiFault>): void => {
   if (res.ok) printJson(schema, res.value)
   else printFault(res.err)
 }
 
 const listWorkspaces = async (options: GlobalOptions): Promise<void> => {
-  const res = await clientOf(options).call(WorkspaceListSchema, { method: 'GET', path: '/v1/workspaces' })
-  if (!res.ok || options.json) return show(WorkspaceListSchema, res)
+  const res = await createClient(options).call(WorkspaceListSchema, { method: 'GET', path: '/v1/workspaces' })
+  if (!res.ok || options.json) return printResponse(WorkspaceListSchema, res)
   printTable(['workspace', 'version', 'weight', 'running', 'queued', 'tasks/s'], res.value.workspaces.map(
     ({ name, version, weight, maxRunning, maxQueued, maxRate }) => [name, version, weight || 1, maxRunning, maxQueued, maxRate]))
 }
 
-const showHistory = async (options: Named): Promise<void> => {
+const showHistory = async (options: WorkspaceOptions): Promise<void> => {
   const path = `/v1/workspaces/${options.workspace}/history`
-  const res = await clientOf(options).call(ChangeListSchema, { method: 'GET', path })
-  if (!res.ok || options.json) return show(ChangeListSchema, res)
+  const res = await createClient(options).call(ChangeListSchema, { method: 'GET', path })
+  if (!res.ok || options.json) return printResponse(ChangeListSchema, res)
   printTable(['version', 'when', 'kind', 'operation'], res.value.changes.map(
     ({ version, atMs, kind, operationId }) => [version, new Date(atMs).toISOString(), kind, operationId]))
 }
 
-const sampleJob = (file: string | undefined): Result<JobSpec, string> => {
+const readSampleJob = (file: string | undefined): Result<JobSpec, string> => {
   if (file !== undefined) return readDocument(JobSpecSchema, file)
   return { ok: true, value: create(JobSpecSchema, { id: 'sample', service: 'sample', tasks: [{ payload: '' }] }) }
 }
 
-const checkAgainst = (spec: PolicySpec, job: JobSpec): void => {
+const evaluatePolicy = (spec: PolicySpec, job: JobSpec): void => {
   const compiled = compilePolicy(spec)
   if (!compiled.ok) {
     for (const { field, line, column, message } of compiled.err) printFailure(`${field}:${line}:${column}: ${message}`, EXIT_CODES.failed)
@@ -120,9 +120,9 @@
 const checkPolicy = ({ file, job }: { file: string, job?: string }): void => {
   const spec = readDocument(PolicySpecSchema, file)
   if (!spec.ok) return printFailure(spec.err, EXIT_CODES.usage)
-  const sample = sampleJob(job)
+  const sample = readSampleJob(job)
   if (!sample.ok) return printFailure(sample.err, EXIT_CODES.usage)
-  checkAgainst(spec.value, sample.value)
+  evaluatePolicy(spec.value, sample.value)
 }
 
 /** A command that changes the configuration. */
@@ -138,8 +138,8 @@
 export const policyCommand = (): Command => {
   const policy = new Command('policy').description('shows, checks and changes a workspace\'s policy')
   policy.addCommand(putCommand('puts a policy in force').action(putPolicy))
-  policy.addCommand(clientCommand('get', 'prints the policy in force').addOption(workspaceOption()).action(async (options: Named) =>
-    show(PolicyRecordSchema, await clientOf(options).call(PolicyRecordSchema, { method: 'GET', path: `/v1/workspaces/${options.workspace}/policy` }))))
+  policy.addCommand(clientCommand('get', 'prints the policy in force').addOption(workspaceOption()).action(async (options: WorkspaceOptions) =>
+    printResponse(PolicyRecordSchema, await createClient(options).call(PolicyRecordSchema, { method: 'GET', path: `/v1/workspaces/${options.workspace}/policy` }))))
   policy.addCommand(clientCommand('history', 'lists accepted changes').addOption(workspaceOption()).action(showHistory))
   policy.addCommand(new Command('check').description('runs a policy against a sample job, without a server')
     .requiredOption('-f, --file <file>', 'YAML or JSON file of the policy')
@@ -152,8 +152,8 @@
 export const workspaceCommand = (): Command => {
   const workspace = new Command('workspace').description('shows and changes workspaces')
   workspace.addCommand(putCommand('creates or changes a workspace (administrator)').action(putWorkspace))
-  workspace.addCommand(clientCommand('get', 'prints a workspace').addOption(workspaceOption()).action(async (options: Named) =>
-    show(WorkspaceViewSchema, await clientOf(options).call(WorkspaceViewSchema, { method: 'GET', path: `/v1/workspaces/${options.workspace}` }))))
+  workspace.addCommand(clientCommand('get', 'prints a workspace').addOption(workspaceOption()).action(async (options: WorkspaceOptions) =>
+    printResponse(WorkspaceViewSchema, await createClient(options).call(WorkspaceViewSchema, { method: 'GET', path: `/v1/workspaces/${options.workspace}` }))))
   workspace.addCommand(clientCommand('list', 'lists all workspaces (administrator)').action(listWorkspaces))
   workspace.addCommand(clientCommand('history', 'lists accepted changes').addOption(workspaceOption()).action(showHistory))
   return workspace
--- a/packages/entry/src/cli/globalOptions.ts
+++ b/packages/entry/src/cli/globalOptions.ts
@@ -21,4 +21,4 @@
   new Option('-w, --workspace <name>', 'the workspace').env('HAZELLIFT_WORKSPACE').makeOptionMandatory()
 
 /** The API as the command's options say. */
-export const clientOf = ({ url, token }: GlobalOptions): ApiClient => createApiClient({ url, token })
+export const createClient = ({ url, token }: GlobalOptions): ApiClient => createApiClient({ url, token })
--- a/packages/entry/src/cli/jobCommands.ts
+++ b/packages/entry/src/cli/jobCommands.ts
@@ -6,10 +6,10 @@
 import type { JobAnswer, JobSpec } from '@hazellift/protocol'
 import { Command, InvalidArgumentError } from 'commander'
 import { ulid } from 'ulid'
-import type { ApiAnswer, ApiClient, ApiFault } from './apiClient.js'
-import { toBody } from './apiClient.js'
+import type { ApiResponse, ApiClient, ApiFault } from './apiClient.js'
+import { encodeBody } from './apiClient.js'
 import type { Result } from '@hazellift/common'
-import { clientCommand, clientOf, workspaceOption } from './globalOptions.js'
+import { clientCommand, createClient, workspaceOption } from './globalOptions.js'
 import type { GlobalOptions } from './globalOptions.js'
 import { print, printFault, printFailure, printJson } from './output.js'
 
@@ -40,9 +40,9 @@
   return Number(text)
 }
 
-const collect = (text: string, before: string[]): string[] => [...before, text]
+const appendValue = (text: string, before: string[]): string[] => [...before, text]
 
-const collectLabel = (text: string, before: Record<string, string>): Record<string, string> => {
+const appendLabel = (text: string, before: Record<string, string>): Record<string, string> => {
   const index = text.indexOf('=')
   if (index < 1) throw new InvalidArgumentError('must be name=value')
   return { ...before, [text.slice(0, index)]: text.slice(index + 1) }
@@ -61,7 +61,7 @@
 }
 
 /** Waits for a job's answer over as many calls as it takes. */
-const waitForAnswer = async (client: ApiClient, path: string, first: ApiAnswer, waitMs: number): Promise<Result<ApiAnswer, ApiFault>> => {
+const waitForAnswer = async (client: ApiClient, path: string, first: ApiResponse, waitMs: number): Promise<Result<ApiResponse, ApiFault>> => {
   const until = Date.now() + waitMs
   let answer = first
   while (answer.status === 202 && Date.now() < until) {
@@ -73,13 +73,13 @@
   return { ok: true, value: answer }
 }
 
-const printResult = (res: Result<ApiAnswer, ApiFault>, json: boolean): void => {
+const printJobResponse = (res: Result<ApiResponse, ApiFault>, json: boolean): void => {
   if (!res.ok) return printFault(res.err)
   if (res.value.status === 202) return print(json ? res.value.text.trim() : 'running')
   printAnswer(fromJsonString(JobAnswerSchema, res.value.text), json)
 }
 
-const specOf = (options: SubmitOptions): JobSpec => {
+const createSpec = (options: SubmitOptions): JobSpec => {
   const payloads = options.tasksFile === undefined ? options.task : readTasks(options.tasksFile)
   return create(JobSpecSchema, {
     id: options.id ?? ulid(),
@@ -96,37 +96,37 @@
 const mayResubmit = (fault: ApiFault): boolean =>
   fault.type === 'unreachable' || (fault.status >= 500 && fault.body.retryAfterMs > 0)
 
-const isNotRun = (fault: ApiFault): boolean => fault.type === 'error' && fault.body.run === RUN_STATES.notRun
+const hasNotRun = (fault: ApiFault): boolean => fault.type === 'error' && fault.body.run === RUN_STATES.notRun
 
 const submit = async (options: SubmitOptions): Promise<void> => {
-  const client = clientOf(options)
-  const spec = specOf(options)
+  const client = createClient(options)
+  const spec = createSpec(options)
   const path = `/v1/workspaces/${options.workspace}/jobs`
   const waitMs = Math.min(options.waitMs, WAIT_CHUNK_MS)
   const send = () => client.send({
-    method: 'POST', path: `${path}?waitMs=${waitMs}`, body: toBody(JobSpecSchema, spec), timeoutMs: waitMs + WAIT_MARGIN_MS
+    method: 'POST', path: `${path}?waitMs=${waitMs}`, body: encodeBody(JobSpecSchema, spec), timeoutMs: waitMs + WAIT_MARGIN_MS
   })
   let res = await send()
-  for (let again = 0; again < options.resubmit && !res.ok && mayResubmit(res.err); again++) {
+  for (let attempt = 0; attempt < options.resubmit && !res.ok && mayResubmit(res.err); attempt++) {
     await sleep(res.err.type === 'error' ? res.err.body.retryAfterMs : DEFAULT_RETRY_MS)
-    spec.firstAttempt &&= isNotRun(res.err)
+    spec.firstAttempt &&= hasNotRun(res.err)
     res = await send()
   }
   if (!res.ok) return printFault(res.err)
   if (!options.json && res.value.status === 202) process.stderr.write(`job ${spec.id} runs\n`)
-  printResult(await waitForAnswer(client, jobPath(options.workspace, spec.id), res.value, options.waitMs), options.json)
+  printJobResponse(await waitForAnswer(client, jobPath(options.workspace, spec.id), res.value, options.waitMs), options.json)
 }
 
 const getJob = async (id: string, options: JobOptions & { waitMs: number }): Promise<void> => {
-  const client = clientOf(options)
+  const client = createClient(options)
   const path = jobPath(options.workspace, id)
   const first = await client.send({ method: 'GET', path })
   if (!first.ok) return printFault(first.err)
-  printResult(await waitForAnswer(client, path, first.value, options.waitMs), options.json)
+  printJobResponse(await waitForAnswer(client, path, first.value, options.waitMs), options.json)
 }
 
 const cancelJob = async (id: string, options: JobOptions): Promise<void> => {
-  printResult(await clientOf(options).send({ method: 'DELETE', path: jobPath(options.workspace, id) }), options.json)
+  printJobResponse(await createClient(options).send({ method: 'DELETE', path: jobPath(options.workspace, id) }), options.json)
 }
 
 /** `hazellift submit`. */
@@ -134,11 +134,11 @@
   .addOption(workspaceOption())
   .requiredOption('-s, --service <name>', 'the service whose endpoints run the tasks')
   .option('--id <id>', 'submission id; the same id never runs twice (default: a new one)')
-  .option('-t, --task <payload>', 'payload of a task; may be given several times', collect, [])
+  .option('-t, --task <payload>', 'payload of a task; may be given several times', appendValue, [])
   .option('--tasks-file <file>', 'file with one payload a line, - for standard input')
   .option('--unrepeatable', 'runs at most once, and the answer is kept before it is given', false)
   .option('--deadline-ms <ms>', 'time until the answer', parseNumber, 0)
-  .option('--label <name=value>', 'label for the policy; may be given several times', collectLabel, {})
+  .option('--label <name=value>', 'label for the policy; may be given several times', appendLabel, {})
   .option('--wait-ms <ms>', 'how long to wait for the answer', parseNumber, DEFAULT_WAIT_MS)
   .option('--resubmit <times>', 'how often to submit again after a refusal that may pass', parseNumber, 0)
   .action(submit)
--- a/packages/entry/src/cli/statusCommand.ts
+++ b/packages/entry/src/cli/statusCommand.ts
@@ -1,7 +1,7 @@
 import { ClusterStatusSchema } from '@hazellift/protocol'
 import type { ClusterStatus } from '@hazellift/protocol'
 import type { Command } from 'commander'
-import { clientCommand, clientOf } from './globalOptions.js'
+import { clientCommand, createClient } from './globalOptions.js'
 import type { GlobalOptions } from './globalOptions.js'
 import { print, printFault, printJson, printTable } from './output.js'
 
@@ -17,7 +17,7 @@
 }
 
 const status = async (options: GlobalOptions): Promise<void> => {
-  const res = await clientOf(options).call(ClusterStatusSchema, { method: 'GET', path: '/v1/status' })
+  const res = await createClient(options).call(ClusterStatusSchema, { method: 'GET', path: '/v1/status' })
   if (!res.ok) return printFault(res.err)
   if (options.json) printJson(ClusterStatusSchema, res.value)
   else printStatus(res.value)
--- a/packages/entry/src/cli/zoneCommands.ts
+++ b/packages/entry/src/cli/zoneCommands.ts
@@ -1,20 +1,20 @@
 import { create } from '@bufbuild/protobuf'
 import { ZoneListSchema, ZoneSpecSchema } from '@hazellift/protocol'
 import { Command } from 'commander'
-import { changeCommand, put } from './configCommands.js'
+import { changeCommand, putConfig } from './configCommands.js'
 import type { ChangeOptions } from './configCommands.js'
-import { clientCommand, clientOf } from './globalOptions.js'
+import { clientCommand, createClient } from './globalOptions.js'
 import type { GlobalOptions } from './globalOptions.js'
 import { printFault, printJson, printTable } from './output.js'
 
 const setEvacuated = (evacuated: boolean) => async (zone: string, options: ChangeOptions): Promise<void> =>
-  put(options, `/v1/zones/${encodeURIComponent(zone)}`, ZoneSpecSchema, create(ZoneSpecSchema, { evacuated }), async (client) => {
+  putConfig(options, `/v1/zones/${encodeURIComponent(zone)}`, ZoneSpecSchema, create(ZoneSpecSchema, { evacuated }), async (client) => {
     const res = await client.call(ZoneListSchema, { method: 'GET', path: '/v1/zones' })
     return res.ok ? res.value.zones.find(({ name }) => name === zone)?.version ?? 0n : 0n
   })
 
 const listZones = async (options: GlobalOptions): Promise<void> => {
-  const res = await clientOf(options).call(ZoneListSchema, { method: 'GET', path: '/v1/zones' })
+  const res = await createClient(options).call(ZoneListSchema, { method: 'GET', path: '/v1/zones' })
   if (!res.ok) return printFault(res.err)
   if (options.json) return printJson(ZoneListSchema, res.value)
   printTable(['zone', 'state', 'endpoints', 'running here', 'version'], res.value.zones.map(
--- a/packages/entry/src/createEntryParts.ts
+++ b/packages/entry/src/createEntryComponents.ts
@@ -11,41 +11,41 @@
 import { createSessions } from '@hazellift/sessions'
 import type { Sessions } from '@hazellift/sessions'
 import { ulid } from 'ulid'
-import type { ApiContext } from './http/context.js'
+import type { ApiContext } from './http/apiContext.js'
 import { ClusterView } from './operations/clusterView.js'
 import { countAgentFrame, countEntryFrame } from './operations/countMessages.js'
 import { createEntryMetrics } from './operations/entryMetrics.js'
 import type { EntryMetrics } from './operations/entryMetrics.js'
 import { Readiness } from './operations/readiness.js'
-import { ConfigSpread } from './peers/configSpread.js'
+import { ConfigPropagation } from './peers/configPropagation.js'
 import { PeerClients } from './peers/peerClients.js'
-import { createSweeper } from './sweeper.js'
+import { createClaimSweeper } from './claimSweeper.js'
 
 /** The parts of an entry, wired together. */
-export interface EntryParts {
+export interface EntryComponents {
   clock: Clock
   /** Filled in once the servers listen. */
   addresses: { api: string, session: string }
   directory: EntryDirectory
   announcement: EntryAnnouncement
-  watch: ConfigWatch
-  owned: OwnedJobs
+  configWatch: ConfigWatch
+  ownedJobs: OwnedJobs
   jobs: JobService
   sessions: Sessions
   readiness: Readiness
-  view: ClusterView
-  api: ApiContext
-  sweep: () => Promise<void>
+  clusterView: ClusterView
+  apiContext: ApiContext
+  sweepClaims: () => Promise<void>
   /** Fails what is still open, for a stop whose grace time is over. */
-  cutJobs: () => string[]
+  failOpenJobs: () => string[]
 }
 
 const STORE_BACKOFF = { baseMs: 20, maxMs: 500 }
 /** Each probe of an endpoint that still fails costs a job. */
-const SET_ASIDE_BACKOFF = { baseMs: 5000, maxMs: 120_000 }
+const EJECTION_BACKOFF = { baseMs: 5000, maxMs: 120_000 }
 const COLLECT_TIMEOUT_MS = 2000
-const SAVE_TIMEOUT_MS = 2000
-const SWEEP_PAUSE_MS = 10_000
+const SAVE_ANSWER_TIMEOUT_MS = 2000
+const SWEEP_INTERVAL_MS = 10_000
 /** Heartbeats until agents have heard of a new entry from another one. */
 const WARM_UP_HEARTBEATS = 3
 
@@ -72,10 +72,10 @@
   takenOver: (job) => owned().onMoved(job),
   started: (_job, waitedMs) => metrics.queueSeconds.observe(waitedMs / 1000),
   ended: (_job, { outcome, reason, runMs }) => {
-    metrics.attempts.inc({ outcome, reason })
+    metrics.taskEnds.inc({ outcome, reason })
     if (runMs > 0) metrics.runSeconds.observe(runMs / 1000)
   },
-  wasted: (reason) => metrics.retries.inc({ reason })
+  wasted: (reason) => metrics.wastedStarts.inc({ reason })
 })
 
 const createDispatcher = (settings: EntrySettings, events: DispatchEvents, admission: () => Admission, watch: () => ConfigWatch): Dispatcher => new Dispatcher({
@@ -90,7 +90,7 @@
   resumeWindowMs: settings.resumeWindowMs,
   collectTimeoutMs: COLLECT_TIMEOUT_MS,
   maxEjectedShare: settings.setAsideShare,
-  ejectionBackoff: createBackoff(SET_ASIDE_BACKOFF, Math.random),
+  ejectionBackoff: createBackoff(EJECTION_BACKOFF, Math.random),
   isEvacuated: (zone) => watch().isEvacuated(zone),
   defer: queueMicrotask
 })
@@ -102,14 +102,14 @@
   maxBytes: settings.answerWindowBytes,
   claims,
   dispatcher,
-  saveTimeoutMs: SAVE_TIMEOUT_MS,
+  saveTimeoutMs: SAVE_ANSWER_TIMEOUT_MS,
   onAnswer: (job, { state, reason, run }) => {
     metrics.jobs.inc({ state, reason })
     log('job_over', { workspace: job.workspace, job: job.id, state, reason, run, ms: Math.round(systemClock.now() - job.arrivedAt) })
   }
 })
 
-const createWatch = (settings: EntrySettings, configStore: ConfigStore, onChange: () => void): ConfigWatch => new ConfigWatch({
+const createConfigWatch = (settings: EntrySettings, configStore: ConfigStore, onChange: () => void): ConfigWatch => new ConfigWatch({
   store: configStore,
   clock: systemClock,
   pollMs: settings.configPollMs,
@@ -130,7 +130,7 @@
   const metrics = createEntryMetrics(base)
   const stores = createStores(settings, metrics)
   const { table, objects, group, configStore } = stores
-  const watch = createWatch(settings, configStore, () => dispatcher.scheduleAll())
+  const watch = createConfigWatch(settings, configStore, () => dispatcher.scheduleAll())
   const directory = new EntryDirectory({
     table,
     group,
@@ -183,7 +183,7 @@
     metric.set(watch.zones.filter(({ evacuated }) => evacuated).length))
 }
 
-const createView = ({ entryId, incarnation, addresses }: Identity, core: EntryCore, peers: PeerClients, readiness: Readiness) => new ClusterView({
+const createClusterView = ({ entryId, incarnation, addresses }: Identity, core: EntryCore, peers: PeerClients, readiness: Readiness) => new ClusterView({
   entryId,
   incarnation,
   apiAddress: () => addresses.api,
@@ -195,7 +195,7 @@
   jobs: () => core.owned.size
 })
 
-const cutJobs = (owned: OwnedJobs): string[] => {
+const failOpenJobs = (owned: OwnedJobs): string[] => {
   const keys = owned.openKeys
   for (const key of keys) owned.failByKey(key, REASONS.stopCut, 'the entry stopped before the job ended')
   return keys
@@ -206,14 +206,14 @@
  *
  * @param settings - checked settings
  */
-export const createEntryParts = (settings: EntrySettings): EntryParts => {
+export const createEntryComponents = (settings: EntrySettings): EntryComponents => {
   const clock = systemClock
   const identity: Identity = { entryId: settings.entryId, incarnation: ulid(), addresses: { api: '', session: '' } }
   const base = createMetrics()
   const peers = new PeerClients(settings.clusterToken)
   const core = createCore(settings, identity, base, () => {
     sessions.broadcastEntries()
-    peers.keepOnly(new Set(core.directory.live.map(({ sessionAddress }) => sessionAddress)))
+    peers.retainOnly(new Set(core.directory.live.map(({ sessionAddress }) => sessionAddress)))
   })
   const { directory, dispatcher, watch, owned, claims, metrics, configStore } = core
   const times = { keepAliveMs: settings.keepAliveMs, timeoutMs: settings.sessionTimeoutMs }
@@ -231,22 +231,22 @@
   const announcement = new EntryAnnouncement({ clock, directory, introduce: peers.introduce, visibleAfterMs: settings.staleAfterMs })
   const jobs = createJobService(settings, identity, core, peers, announcement)
   const readiness = new Readiness({ clock, watch, dispatcher, directory, announcement, peers, warmUpMs: settings.heartbeatMs * WARM_UP_HEARTBEATS })
-  const view = createView(identity, core, peers, readiness)
-  const spread = new ConfigSpread({ clock, entryId: identity.entryId, watch, directory, peers })
+  const view = createClusterView(identity, core, peers, readiness)
+  const spread = new ConfigPropagation({ clock, entryId: identity.entryId, watch, directory, peers })
   addGauges(base, core)
   return {
     clock,
     addresses: identity.addresses,
     directory,
     announcement,
-    watch,
-    owned,
+    configWatch: watch,
+    ownedJobs: owned,
     jobs,
     sessions,
     readiness,
-    view,
-    api: { settings, jobs, watch, configStore, spread, view, metrics, registry: base.registry, isReady: () => readiness.isReady },
-    sweep: createSweeper({ clock, claims, retentionMs: settings.claimRetentionMs, intervalMs: SWEEP_PAUSE_MS }),
-    cutJobs: () => cutJobs(owned)
+    clusterView: view,
+    apiContext: { settings, jobs, configWatch: watch, configStore, configPropagation: spread, clusterView: view, metrics, registry: base.registry, isReady: () => readiness.isReady },
+    sweepClaims: createClaimSweeper({ clock, claims, retentionMs: settings.claimRetentionMs, intervalMs: SWEEP_INTERVAL_MS }),
+    failOpenJobs: () => failOpenJobs(owned)
   }
 }
--- a/packages/entry/src/http/context.ts
+++ b/packages/entry/src/http/apiContext.ts
@@ -2,7 +2,7 @@
 import type { ConfigStore, ConfigWatch, JobService } from '@hazellift/coordination'
 import type { EntrySettings } from '@hazellift/protocol'
 import type { Registry } from 'prom-client'
-import type { ConfigSpread } from '../peers/configSpread.js'
+import type { ConfigPropagation } from '../peers/configPropagation.js'
 import type { EntryMetrics } from '../operations/entryMetrics.js'
 import type { ClusterView } from '../operations/clusterView.js'
 
@@ -10,10 +10,10 @@
 export interface ApiContext {
   settings: EntrySettings
   jobs: JobService
-  watch: ConfigWatch
+  configWatch: ConfigWatch
   configStore: ConfigStore
-  spread: ConfigSpread
-  view: ClusterView
+  configPropagation: ConfigPropagation
+  clusterView: ClusterView
   metrics: EntryMetrics
   registry: Registry
   isReady: () => boolean
--- a/packages/entry/src/http/authenticate.ts
+++ b/packages/entry/src/http/authenticate.ts
@@ -27,13 +27,13 @@
 /** Compares two secrets in constant time. */
 export const isSameSecret = (a: string, b: string): boolean => isSameHash(hashToken(a), hashToken(b))
 
-const tokenOf = (req: IncomingMessage): string | undefined =>
+const bearerTokenOf = (req: IncomingMessage): string | undefined =>
   BEARER.exec(req.headers.authorization ?? '')?.[1]
 
 const unauthorized = notRunError(REASONS.unauthorized, 'a valid token is needed: Authorization: Bearer <token>')
-const noWorkspace = notRunError(REASONS.notFound, 'no such workspace')
+const workspaceNotFound = notRunError(REASONS.notFound, 'no such workspace')
 
-const roleIn = (config: WorkspaceConfig, hash: string): TokenRole | undefined =>
+const findRole = (config: WorkspaceConfig, hash: string): TokenRole | undefined =>
   config.record.tokens.find(({ sha256 }) => isSameHash(sha256, hash))?.role as TokenRole | undefined
 
 /**
@@ -43,7 +43,7 @@
  * @param adminToken - from the settings
  */
 export const authenticateAdmin = (req: IncomingMessage, adminToken: string): Result<Caller, HttpError> => {
-  const token = tokenOf(req)
+  const token = bearerTokenOf(req)
   const isAdmin = token !== undefined && isSameSecret(token, adminToken)
   return isAdmin ? ok({ isAdmin, role: TOKEN_ROLES.operator }) : fail(unauthorized)
 }
@@ -55,23 +55,23 @@
  * @param req - the request
  * @param watch - the configuration in force
  * @param workspace - named by the path
- * @param needs - the role that the request needs
+ * @param requiredRole - the role that the request needs
  * @param adminToken - from the settings; the administrator may do all but submit
  */
 export const authenticate = (
-  req: IncomingMessage, watch: ConfigWatch, workspace: string, needs: TokenRole, adminToken: string
+  req: IncomingMessage, watch: ConfigWatch, workspace: string, requiredRole: TokenRole, adminToken: string
 ): Result<{ caller: Caller, config: WorkspaceConfig }, HttpError> => {
   const admin = authenticateAdmin(req, adminToken)
   const config = watch.find(workspace)
-  if (admin.ok && needs === TOKEN_ROLES.operator) return config === undefined ? fail(noWorkspace) : ok({ caller: admin.value, config })
-  const token = tokenOf(req)
+  if (admin.ok && requiredRole === TOKEN_ROLES.operator) return config === undefined ? fail(workspaceNotFound) : ok({ caller: admin.value, config })
+  const token = bearerTokenOf(req)
   if (token === undefined) return fail(unauthorized)
   const hash = hashToken(token)
-  const role = config === undefined ? undefined : roleIn(config, hash)
+  const role = config === undefined ? undefined : findRole(config, hash)
   if (config !== undefined && role !== undefined) {
-    const mayDo = needs === TOKEN_ROLES.caller || role === TOKEN_ROLES.operator
-    return mayDo ? ok({ caller: { isAdmin: false, role }, config }) : fail(notRunError(REASONS.forbidden, `a token with the role ${needs} is needed`))
+    const isAllowed = requiredRole === TOKEN_ROLES.caller || role === TOKEN_ROLES.operator
+    return isAllowed ? ok({ caller: { isAdmin: false, role }, config }) : fail(notRunError(REASONS.forbidden, `a token with the role ${requiredRole} is needed`))
   }
-  const isElsewhere = watch.workspaceNames.some((name) => roleIn(watch.find(name)!, hash) !== undefined)
-  return fail(isElsewhere || admin.ok ? noWorkspace : unauthorized)
+  const isTokenOfOtherWorkspace = watch.workspaceNames.some((name) => findRole(watch.find(name)!, hash) !== undefined)
+  return fail(isTokenOfOtherWorkspace || admin.ok ? workspaceNotFound : unauthorized)
 }
--- a/packages/entry/src/http/configHandlers.ts
+++ b/packages/entry/src/http/configHandlers.ts
@@ -8,21 +8,21 @@
 import type { ConfigChange, TokenRecord, TokenSpec, WorkspaceRecord, WorkspaceView } from '@hazellift/protocol'
 import { ulid } from 'ulid'
 import { authenticate, authenticateAdmin, hashToken } from './authenticate.js'
-import { isWorkspaceName } from './checkNames.js'
-import type { ApiContext, ApiHandler, ApiRequest } from './context.js'
+import { isWorkspaceName } from './checkJobSpec.js'
+import type { ApiContext, ApiHandler, ApiRequest } from './apiContext.js'
 import { notRunError } from './httpError.js'
 import type { HttpError } from './httpError.js'
 import { readMessage, readMs } from './readMessage.js'
 import { sendError, sendMessage } from './reply.js'
 
 const MIN_TOKEN_LENGTH = 12
-const MAX_WAIT_MS = 60_000
-const HISTORY_LIMIT = 1000
+const MAX_PROPAGATION_WAIT_MS = 60_000
+const MAX_HISTORY_CHANGES = 1000
 const STORE_RETRY_MS = 1000
 const ROLES: readonly string[] = Object.values(TOKEN_ROLES)
 
 const authenticateOperator = (context: ApiContext, request: ApiRequest): WorkspaceConfig | undefined => {
-  const { watch, settings } = context
+  const { configWatch: watch, settings } = context
   const auth = authenticate(request.req, watch, request.params['workspace'] ?? '', TOKEN_ROLES.operator, settings.adminToken)
   if (auth.ok) return auth.value.config
   sendError(request.res, auth.err)
@@ -45,9 +45,9 @@
 }
 
 /** A token left empty keeps the value it has. */
-const toTokenRecords = (tokens: TokenSpec[], before: TokenRecord[]): TokenRecord[] => tokens.map(({ name, role, token }) => {
-  const kept = before.find((record) => record.name === name)?.sha256 ?? ''
-  return { name, role, sha256: token === '' ? kept : hashToken(token) } as TokenRecord
+const toTokenRecords = (tokens: TokenSpec[], previous: TokenRecord[]): TokenRecord[] => tokens.map(({ name, role, token }) => {
+  const previousHash = previous.find((record) => record.name === name)?.sha256 ?? ''
+  return { name, role, sha256: token === '' ? previousHash : hashToken(token) } as TokenRecord
 })
 
 const conflictError = (seenVersion: bigint, currentVersion: bigint): HttpError => ({
@@ -56,7 +56,7 @@
   currentVersion
 })
 
-const editError = (fault: ConfigFault): HttpError => {
+const configErrorOf = (fault: ConfigFault): HttpError => {
   switch (fault.type) {
     case 'conflict': return conflictError(fault.seenVersion, fault.currentVersion)
     case 'unavailable': return {
@@ -66,14 +66,14 @@
 }
 
 /** Writes a change and tells the caller where it is in force. */
-export const accept = async (context: ApiContext, { res, query }: ApiRequest, edit: ConfigEdit): Promise<void> => {
-  const waitMs = readMs(query['waitMs'], 0, MAX_WAIT_MS)
+export const saveConfigChange = async (context: ApiContext, { res, query }: ApiRequest, edit: ConfigEdit): Promise<void> => {
+  const waitMs = readMs(query['waitMs'], 0, MAX_PROPAGATION_WAIT_MS)
   if (!waitMs.ok) return sendError(res, waitMs.err)
   const result = await context.configStore.put(edit)
   context.metrics.configChanges.inc({ outcome: result.ok ? 'accepted' : result.err.type })
-  if (!result.ok) return sendError(res, editError(result.err))
-  const spread = await context.spread.spread(result.value, waitMs.value)
-  sendMessage(res, 200, ConfigAcceptedSchema, create(ConfigAcceptedSchema, { version: result.value, ...spread }))
+  if (!result.ok) return sendError(res, configErrorOf(result.err))
+  const propagation = await context.configPropagation.propagate(result.value, waitMs.value)
+  sendMessage(res, 200, ConfigAcceptedSchema, create(ConfigAcceptedSchema, { version: result.value, ...propagation }))
 }
 
 /** Creates or changes a workspace. */
@@ -86,14 +86,14 @@
   const spec = await readMessage(context, request, WorkspaceSpecSchema)
   if (!spec.ok) return sendError(res, spec.err)
   const { weight, maxRunning, maxQueued, maxRate, tokens, seenVersion, operationId } = spec.value
-  const before = context.watch.find(name)?.record.tokens ?? []
-  const records = toTokenRecords(tokens, before)
+  const previousTokens = context.configWatch.find(name)?.record.tokens ?? []
+  const records = toTokenRecords(tokens, previousTokens)
   const fault = checkTokens(tokens) ??
     (weight < 0 || maxRate < 0 ? 'weight and maxRate must not be negative' : undefined) ??
     (records.some(({ sha256 }) => sha256 === '') ? 'a new token needs a value' : undefined)
   if (fault !== undefined) return sendError(res, notRunError(REASONS.badRequest, fault))
   const record = create(WorkspaceRecordSchema, { name, weight, maxRunning, maxQueued, maxRate, tokens: records })
-  await accept(context, request, { kind: CONFIG_KINDS.workspace, name, seenVersion, operationId: operationId || ulid(), record })
+  await saveConfigChange(context, request, { kind: CONFIG_KINDS.workspace, name, seenVersion, operationId: operationId || ulid(), record })
 }
 
 /** Shows a workspace. */
@@ -103,7 +103,7 @@
 }
 
 /** Lists all workspaces, for the administrator. */
-export const listWorkspaces: ApiHandler = ({ settings, watch }, { req, res }) => {
+export const listWorkspaces: ApiHandler = ({ settings, configWatch: watch }, { req, res }) => {
   const auth = authenticateAdmin(req, settings.adminToken)
   if (!auth.ok) return sendError(res, auth.err)
   const workspaces = watch.workspaceNames.map((name) => toView(watch.find(name)!.record))
@@ -124,7 +124,7 @@
   const name = config.record.name
   const { admit, reason, priority, running, queued, rate, retries, seenVersion, operationId } = spec.value
   const record = create(PolicyRecordSchema, { workspace: name, admit, reason, priority, running, queued, rate, retries })
-  await accept(context, request, { kind: CONFIG_KINDS.policy, name, seenVersion, operationId: operationId || ulid(), record })
+  await saveConfigChange(context, request, { kind: CONFIG_KINDS.policy, name, seenVersion, operationId: operationId || ulid(), record })
 }
 
 /** Shows a workspace's policy. */
@@ -144,7 +144,7 @@
 export const getHistory: ApiHandler = async (context, request) => {
   const config = authenticateOperator(context, request)
   if (config === undefined) return
-  const changes = await context.configStore.changesAfter(0n, HISTORY_LIMIT)
+  const changes = await context.configStore.changesAfter(0n, MAX_HISTORY_CHANGES)
   if (!changes.ok) {
     return sendError(request.res, { ...notRunError(REASONS.storeDown, changes.err.message), retryAfterMs: STORE_RETRY_MS })
   }
--- a/packages/entry/src/http/jobHandlers.ts
+++ b/packages/entry/src/http/jobHandlers.ts
@@ -1,8 +1,8 @@
 import { JobSpecSchema, REASONS, RUN_STATES, TOKEN_ROLES } from '@hazellift/protocol'
 import type { JobReply, WorkspaceConfig } from '@hazellift/coordination'
 import { authenticate } from './authenticate.js'
-import { checkJobSpec, isJobId } from './checkNames.js'
-import type { ApiContext, ApiHandler, ApiRequest } from './context.js'
+import { checkJobSpec, isJobId } from './checkJobSpec.js'
+import type { ApiContext, ApiHandler, ApiRequest } from './apiContext.js'
 import { notRunError } from './httpError.js'
 import type { HttpError } from './httpError.js'
 import { readMessage, readMs } from './readMessage.js'
@@ -15,13 +15,13 @@
   reason: REASONS.notReady, message: 'this entry has not read the configuration yet', run: RUN_STATES.mayHaveRun, retryAfterMs: 1000
 }
 
-const finish = ({ metrics }: ApiContext, { res, params }: ApiRequest, id: string, reply: JobReply): void => {
+const sendReply = ({ metrics }: ApiContext, { res, params }: ApiRequest, id: string, reply: JobReply): void => {
   if (reply.type === 'refused') metrics.refusals.inc({ reason: reply.reason })
   sendJobReply(res, params['workspace'] ?? '', id, reply)
 }
 
 const authenticateCaller = (context: ApiContext, request: ApiRequest): WorkspaceConfig | undefined => {
-  const { watch, settings, metrics } = context
+  const { configWatch: watch, settings, metrics } = context
   if (!watch.isLoaded) {
     metrics.refusals.inc({ reason: REASONS.notReady })
     sendError(request.res, notReady)
@@ -34,7 +34,7 @@
   return undefined
 }
 
-const refuseBadId = ({ res }: ApiRequest): void =>
+const sendJobNotFound = ({ res }: ApiRequest): void =>
   sendError(res, notRunError(REASONS.notFound, 'no such job'))
 
 /** Submits a job, or attaches to it if it was submitted before. */
@@ -54,7 +54,7 @@
     metrics.refusals.inc({ reason: REASONS.badRequest })
     return sendError(request.res, notRunError(REASONS.badRequest, fault))
   }
-  finish(context, request, spec.value.id, await jobs.submit(config, spec.value, waitMs.value))
+  sendReply(context, request, spec.value.id, await jobs.submit(config, spec.value, waitMs.value))
 }
 
 /** Asks for a job, waiting for its answer if asked to. */
@@ -62,10 +62,10 @@
   const config = authenticateCaller(context, request)
   if (config === undefined) return
   const id = request.params['id'] ?? ''
-  if (!isJobId(id)) return refuseBadId(request)
+  if (!isJobId(id)) return sendJobNotFound(request)
   const waitMs = readMs(request.query['waitMs'], 0, context.settings.maxDeadlineMs)
   if (!waitMs.ok) return sendError(request.res, waitMs.err)
-  finish(context, request, id, await context.jobs.ask(config.record.name, id, waitMs.value))
+  sendReply(context, request, id, await context.jobs.ask(config.record.name, id, waitMs.value))
 }
 
 /** Cancels a job. */
@@ -73,6 +73,6 @@
   const config = authenticateCaller(context, request)
   if (config === undefined) return
   const id = request.params['id'] ?? ''
-  if (!isJobId(id)) return refuseBadId(request)
-  finish(context, request, id, await context.jobs.cancel(config.record.name, id))
+  if (!isJobId(id)) return sendJobNotFound(request)
+  sendReply(context, request, id, await context.jobs.cancel(config.record.name, id))
 }
--- a/packages/entry/src/http/operationHandlers.ts
+++ b/packages/entry/src/http/operationHandlers.ts
@@ -1,6 +1,6 @@
 import { ClusterStatusSchema } from '@hazellift/protocol'
 import { authenticateAdmin } from './authenticate.js'
-import type { ApiHandler } from './context.js'
+import type { ApiHandler } from './apiContext.js'
 import { sendError, sendMessage } from './reply.js'
 
 /** The process lives. */
@@ -21,8 +21,8 @@
 }
 
 /** What all entries see, for the administrator. */
-export const getStatus: ApiHandler = async ({ settings, view }, { req, res }) => {
+export const getStatus: ApiHandler = async ({ settings, clusterView: view }, { req, res }) => {
   const auth = authenticateAdmin(req, settings.adminToken)
   if (!auth.ok) return sendError(res, auth.err)
-  sendMessage(res, 200, ClusterStatusSchema, await view.all())
+  sendMessage(res, 200, ClusterStatusSchema, await view.clusterStatus())
 }
--- a/packages/entry/src/operations/clusterView.ts
+++ b/packages/entry/src/operations/clusterView.ts
@@ -22,7 +22,7 @@
   constructor (private readonly options: ClusterViewOptions) {}
 
   /** What this entry sees. */
-  own (): StatusResponse {
+  ownStatus (): StatusResponse {
     const { entryId, incarnation, apiAddress, configVersion, isReady, jobs } = this.options
     return create(StatusResponseSchema, {
       entryId,
@@ -37,13 +37,13 @@
   }
 
   /** What all live entries see. */
-  async all (): Promise<ClusterStatus> {
+  async clusterStatus (): Promise<ClusterStatus> {
     const { directory, peers } = this.options
     const answers = await Promise.all(directory.peers.map(async ({ entryId, sessionAddress }) =>
       ({ entryId, status: await peers.status(sessionAddress) })))
     const entries = answers.flatMap(({ status }) => status ?? [])
     const unreachable = answers.filter(({ status }) => status === undefined).map(({ entryId }) => entryId)
-    return create(ClusterStatusSchema, { entries: [this.own(), ...entries], unreachable })
+    return create(ClusterStatusSchema, { entries: [this.ownStatus(), ...entries], unreachable })
   }
 
   private queues () {
--- a/packages/entry/src/operations/countMessages.ts
+++ b/packages/entry/src/operations/countMessages.ts
@@ -22,7 +22,7 @@
   if (number > 0) messages.inc({ kind }, number)
 }
 
-const kindOfBareFrame = ({ credits, endsElsewhere }: AgentFrame): MessageKind => {
+const kindOfFrameWithoutMessages = ({ credits, endsElsewhere }: AgentFrame): MessageKind => {
   if (credits > 0) return MESSAGE_KINDS.grant
   return endsElsewhere !== undefined && endsElsewhere.failed > 0 ? MESSAGE_KINDS.failure : MESSAGE_KINDS.keepAlive
 }
@@ -32,9 +32,9 @@
   metrics.frames.inc({ direction: 'in' })
   count(metrics, MESSAGE_KINDS.result, frame.results.length)
   count(metrics, MESSAGE_KINDS.collect, frame.collected.length)
-  const hasOther = frame.results.length + frame.collected.length > 0 || frame.hello !== undefined || frame.resume !== undefined
-  if (hasOther) return
-  count(metrics, kindOfBareFrame(frame), 1)
+  const hasMessages = frame.results.length + frame.collected.length > 0 || frame.hello !== undefined || frame.resume !== undefined
+  if (hasMessages) return
+  count(metrics, kindOfFrameWithoutMessages(frame), 1)
 }
 
 /** Counts what this entry sends. Demand that travels with a start costs no message. */
@@ -44,7 +44,7 @@
   count(metrics, MESSAGE_KINDS.revoke, frame.revokes.length)
   count(metrics, MESSAGE_KINDS.collect, frame.collects.length)
   count(metrics, MESSAGE_KINDS.return, frame.returnedCredits > 0 ? 1 : 0)
-  const hasOther = frame.starts.length + frame.revokes.length + frame.collects.length + frame.returnedCredits > 0 || frame.welcome !== undefined
-  if (hasOther) return
+  const hasMessages = frame.starts.length + frame.revokes.length + frame.collects.length + frame.returnedCredits > 0 || frame.welcome !== undefined
+  if (hasMessages) return
   count(metrics, frame.demand !== undefined ? MESSAGE_KINDS.demand : MESSAGE_KINDS.keepAlive, 1)
 }
--- a/packages/entry/src/operations/readiness.ts
+++ b/packages/entry/src/operations/readiness.ts
@@ -14,37 +14,37 @@
   warmUpMs: number
 }
 
-const CHECK_MS = 100
+const CHECK_INTERVAL_MS = 100
 
 /**
  * An entry is ready once it has the configuration in force, is known to the
  * others, and has as many agents as they have or has waited long enough for them.
  */
 export class Readiness {
-  private warm = false
-  private stopping = false
+  private isWarmedUp = false
+  private isStopping = false
 
   constructor (private readonly options: ReadinessOptions) {}
 
   /** True while requests should come here. */
   get isReady (): boolean {
-    return this.warm && this.options.watch.isLoaded && !this.stopping
+    return this.isWarmedUp && this.options.watch.isLoaded && !this.isStopping
   }
 
   /** Takes the entry out of the balancer. */
   stop (): void {
-    this.stopping = true
+    this.isStopping = true
   }
 
   /** Resolves once the entry is ready for the first time. */
   async warmUp (): Promise<void> {
     const { clock, watch, announcement, warmUpMs } = this.options
     const until = clock.now() + warmUpMs
-    while (!watch.isLoaded || !announcement.isDone || (clock.now() < until && !await this.hasAgents())) await clock.sleep(CHECK_MS)
-    this.warm = true
+    while (!watch.isLoaded || !announcement.isDone || (clock.now() < until && !await this.hasAsManyAgentsAsPeers())) await clock.sleep(CHECK_INTERVAL_MS)
+    this.isWarmedUp = true
   }
 
-  private async hasAgents (): Promise<boolean> {
+  private async hasAsManyAgentsAsPeers (): Promise<boolean> {
     const own = this.options.dispatcher.knownAgents.length
     if (own === 0) return false
     const answers = await Promise.all(this.options.directory.peers.map(({ sessionAddress }) =>
--- a/packages/entry/src/peers/configSpread.ts
+++ b/packages/entry/src/peers/configPropagation.ts
@@ -3,7 +3,7 @@
 import type { PeerClients } from './peerClients.js'
 
 /** What spreading needs. */
-export interface ConfigSpreadOptions {
+export interface ConfigPropagationOptions {
   clock: Clock
   entryId: string
   watch: ConfigWatch
@@ -12,7 +12,7 @@
 }
 
 /** Where a version is in force. */
-export interface SpreadResult {
+export interface PropagationResult {
   inForce: string[]
   pending: string[]
 }
@@ -20,8 +20,8 @@
 const RETRY_MS = 200
 
 /** Tells all entries of an accepted change, which they would else find at their next poll. */
-export class ConfigSpread {
-  constructor (private readonly options: ConfigSpreadOptions) {}
+export class ConfigPropagation {
+  constructor (private readonly options: ConfigPropagationOptions) {}
 
   /**
    * Puts a version in force here and tells the peers.
@@ -29,12 +29,12 @@
    * @param version - just accepted
    * @param waitMs - how long to wait for peers that do not confirm
    */
-  async spread (version: bigint, waitMs: number): Promise<SpreadResult> {
+  async propagate (version: bigint, waitMs: number): Promise<PropagationResult> {
     const { clock, watch, entryId, directory } = this.options
     const until = clock.now() + waitMs
     while (true) {
       await watch.refresh()
-      const result = await this.tellPeers(version)
+      const result = await this.notifyPeers(version)
       const isOwnInForce = watch.version >= version
       ;(isOwnInForce ? result.inForce : result.pending).unshift(entryId)
       const isDone = result.pending.length === 0 || directory.peers.length === 0
@@ -43,9 +43,9 @@
     }
   }
 
-  private async tellPeers (version: bigint): Promise<SpreadResult> {
+  private async notifyPeers (version: bigint): Promise<PropagationResult> {
     const { directory, peers } = this.options
-    const result: SpreadResult = { inForce: [], pending: [] }
+    const result: PropagationResult = { inForce: [], pending: [] }
     await Promise.all(directory.peers.map(async ({ entryId, sessionAddress }) => {
       const inForce = await peers.configChanged(sessionAddress, version)
       const isInForce = inForce !== undefined && inForce >= version
--- a/packages/entry/src/peers/createPeerService.ts
+++ b/packages/entry/src/peers/createPeerService.ts
@@ -26,5 +26,5 @@
     if (watch.version < version) await watch.refresh()
     return { version: watch.version }
   },
-  status: () => view.own()
+  status: () => view.ownStatus()
 })
--- a/packages/entry/src/peers/peerClients.ts
+++ b/packages/entry/src/peers/peerClients.ts
@@ -9,7 +9,7 @@
 
 const CALL_TIMEOUT_MS = 1000
 
-const addToken = (clusterToken: string): Interceptor => (next) => (req) => {
+const clusterTokenInterceptor = (clusterToken: string): Interceptor => (next) => (req) => {
   req.header.set(CLUSTER_TOKEN_HEADER, clusterToken)
   return next(req)
 }
@@ -46,13 +46,13 @@
   }
 
   /** Forgets connections to entries that are gone. */
-  keepOnly (addresses: Set<string>): void {
+  retainOnly (addresses: Set<string>): void {
     for (const address of this.clients.keys()) if (!addresses.has(address)) this.clients.delete(address)
   }
 
-  private async call<T> (timeoutMs: number, send: (timeoutMs: number) => Promise<T>): Promise<Result<T, PeerFault>> {
+  private async call<T> (timeoutMs: number, callPeer: (timeoutMs: number) => Promise<T>): Promise<Result<T, PeerFault>> {
     try {
-      return ok(await send(timeoutMs))
+      return ok(await callPeer(timeoutMs))
     } catch (err) {
       return fail({ type: 'unreachable', message: errorMessage(err) })
     }
@@ -64,7 +64,7 @@
     const transport = createConnectTransport({
       baseUrl: `http://${address}`,
       httpVersion: '2',
-      interceptors: [addToken(this.clusterToken)]
+      interceptors: [clusterTokenInterceptor(this.clusterToken)]
     })
     const client = createClient(PeerService, transport)
     this.clients.set(address, client)
--- a/packages/entry/src/startEntry.ts
+++ b/packages/entry/src/startEntry.ts
@@ -11,8 +11,8 @@
 import type { EntrySettings } from '@hazellift/protocol'
 import { createApiServer } from './http/createApiServer.js'
 import { isSameSecret } from './http/authenticate.js'
-import { createEntryParts } from './createEntryParts.js'
-import type { EntryParts } from './createEntryParts.js'
+import { createEntryComponents } from './createEntryComponents.js'
+import type { EntryComponents } from './createEntryComponents.js'
 import { createPeerService } from './peers/createPeerService.js'
 
 /** A running entry. */
@@ -32,7 +32,7 @@
 /** Time for callers of this moment's answers, and for balancers, before the listeners close. */
 const CLOSE_DELAY_MS = 100
 
-const requireClusterToken = (clusterToken: string): Interceptor => (next) => async (req) => {
+const clusterTokenInterceptor = (clusterToken: string): Interceptor => (next) => async (req) => {
   const token = req.header.get(CLUSTER_TOKEN_HEADER) ?? ''
   if (!isSameSecret(token, clusterToken)) throw new ConnectError('wrong cluster token', Code.Unauthenticated)
   return next(req)
@@ -44,64 +44,64 @@
   return `${host}:${(server.address() as AddressInfo).port}`
 }
 
-const createSessionServer = (settings: EntrySettings, parts: EntryParts): Http2Server =>
+const createSessionServer = (settings: EntrySettings, components: EntryComponents): Http2Server =>
   createHttp2Server(connectNodeAdapter({
-    interceptors: [requireClusterToken(settings.clusterToken)],
+    interceptors: [clusterTokenInterceptor(settings.clusterToken)],
     routes: (router) => {
-      router.service(SessionService, parts.sessions.service)
-      router.service(PeerService, createPeerService(parts.jobs, parts.directory, parts.watch, parts.view))
+      router.service(SessionService, components.sessions.service)
+      router.service(PeerService, createPeerService(components.jobs, components.directory, components.configWatch, components.clusterView))
     }
   }))
 
 /** Closes a server and what is still open on it. */
-const closeSessionServer = async (server: Http2Server, open: Set<ServerHttp2Session>): Promise<void> => {
+const closeSessionServer = async (server: Http2Server, openSessions: Set<ServerHttp2Session>): Promise<void> => {
   const closed = once(server, 'close')
   server.close()
-  for (const session of open) session.destroy()
+  for (const session of openSessions) session.destroy()
   await closed
 }
 
 const trackSessions = (server: Http2Server): Set<ServerHttp2Session> => {
-  const open = new Set<ServerHttp2Session>()
+  const openSessions = new Set<ServerHttp2Session>()
   server.on('session', (session) => {
-    open.add(session)
-    session.on('close', () => open.delete(session))
+    openSessions.add(session)
+    session.on('close', () => openSessions.delete(session))
   })
-  return open
+  return openSessions
 }
 
-const startLoops = (parts: EntryParts, settings: EntrySettings): (() => void) => {
+const startBackgroundLoops = (components: EntryComponents, settings: EntrySettings): (() => void) => {
   const controller = new AbortController()
   const repeat = async (pass: () => Promise<void>, pauseMs: number): Promise<void> => {
     while (!controller.signal.aborted) {
       await pass()
-      await parts.clock.sleep(pauseMs)
+      await components.clock.sleep(pauseMs)
     }
   }
-  void parts.directory.run()
-  void parts.announcement.run()
-  void parts.watch.run()
-  void repeat(parts.sweep, settings.heartbeatMs)
-  void repeat(async () => parts.owned.trim(), settings.heartbeatMs)
+  void components.directory.run()
+  void components.announcement.run()
+  void components.configWatch.run()
+  void repeat(components.sweepClaims, settings.heartbeatMs)
+  void repeat(async () => components.ownedJobs.trim(), settings.heartbeatMs)
   return () => {
     controller.abort()
-    parts.announcement.stop()
-    parts.watch.stop()
+    components.announcement.stop()
+    components.configWatch.stop()
   }
 }
 
 /** Counts requests that are not answered; some wait for jobs of other entries. */
-const countRequests = (server: Server): (() => number) => {
-  let open = 0
+const countOpenRequests = (server: Server): (() => number) => {
+  let openRequests = 0
   server.on('request', (_req, res) => {
-    open++
-    res.once('close', () => { open-- })
+    openRequests++
+    res.once('close', () => { openRequests-- })
   })
-  return () => open
+  return () => openRequests
 }
 
-const drain = async (parts: EntryParts, openRequests: () => number, isCut: () => boolean): Promise<void> => {
-  while ((parts.jobs.size > 0 || openRequests() > 0) && !isCut()) await parts.clock.sleep(DRAIN_CHECK_MS)
+const drain = async (components: EntryComponents, openRequests: () => number, isCut: () => boolean): Promise<void> => {
+  while ((components.jobs.size > 0 || openRequests() > 0) && !isCut()) await components.clock.sleep(DRAIN_CHECK_MS)
 }
 
 /**
@@ -110,33 +110,33 @@
  * @param settings - checked settings
  */
 export const startEntry = async (settings: EntrySettings): Promise<RunningEntry> => {
-  const parts = createEntryParts(settings)
-  const sessionServer = createSessionServer(settings, parts)
+  const components = createEntryComponents(settings)
+  const sessionServer = createSessionServer(settings, components)
   const openSessions = trackSessions(sessionServer)
-  const apiServer = createApiServer(parts.api)
-  const openRequests = countRequests(apiServer)
+  const apiServer = createApiServer(components.apiContext)
+  const openRequests = countOpenRequests(apiServer)
   const sessionAddress = await listen(sessionServer, settings.listenHost, settings.sessionPort)
   const apiAddress = await listen(apiServer, settings.listenHost, settings.apiPort)
-  parts.addresses.session = settings.advertiseSession || sessionAddress
-  parts.addresses.api = settings.advertiseApi || apiAddress
-  const stopLoops = startLoops(parts, settings)
-  const ready = parts.readiness.warmUp()
-  void ready.then(() => log('ready', { entry: settings.entryId, api: parts.addresses.api, session: parts.addresses.session }))
-  let cut = false
+  components.addresses.session = settings.advertiseSession || sessionAddress
+  components.addresses.api = settings.advertiseApi || apiAddress
+  const stopLoops = startBackgroundLoops(components, settings)
+  const ready = components.readiness.warmUp()
+  void ready.then(() => log('ready', { entry: settings.entryId, api: components.addresses.api, session: components.addresses.session }))
+  let isCut = false
 
   const stop = async (): Promise<void> => {
-    log('stopping', { entry: settings.entryId, jobs: parts.jobs.size })
-    parts.readiness.stop()
-    parts.jobs.stop()
-    parts.sessions.leave()
-    void parts.directory.leave()
-    await drain(parts, openRequests, () => cut)
+    log('stopping', { entry: settings.entryId, jobs: components.jobs.size })
+    components.readiness.stop()
+    components.jobs.stop()
+    components.sessions.leave()
+    void components.directory.leave()
+    await drain(components, openRequests, () => isCut)
     stopLoops()
-    await parts.directory.stop()
-    await parts.clock.sleep(CLOSE_DELAY_MS)
+    await components.directory.stop()
+    await components.clock.sleep(CLOSE_DELAY_MS)
     apiServer.close()
     apiServer.closeIdleConnections()
-    parts.sessions.closeAll()
+    components.sessions.closeAll()
     await closeSessionServer(sessionServer, openSessions)
     apiServer.closeAllConnections()
     log('stopped', { entry: settings.entryId })
@@ -148,8 +148,8 @@
     ready,
     stop,
     cut: () => {
-      cut = true
-      return parts.cutJobs()
+      isCut = true
+      return components.failOpenJobs()
     }
   }
 }
--- a/packages/lab/src/drawScenario.ts
+++ b/packages/lab/src/drawScenario.ts
@@ -1,12 +1,12 @@
 import type { Random } from '@hazellift/common'
-import { drawShare, sourceOf } from './draw.js'
+import { sampleShare, randomStream } from './draw.js'
 import { checkScenario } from './scenario.js'
 import type { Scenario, Trouble } from './scenario.js'
 
 /** Purpose of the source that scenarios are drawn from. */
-const PURPOSE = 63
+const SCENARIO_STREAM = 63
 const SECONDS = 15
-const TROUBLE_KINDS: Array<(at: number, random: Random) => Trouble> = [
+const TROUBLE_DRAWS: Array<(at: number, random: Random) => Trouble> = [
   (at, random) => ({ kind: 'burst', at, for: 3, x: 1.3 + random() }),
   (at, random) => ({ kind: 'lost_orders', at, for: 4, share: 0.02 + 0.2 * random() }),
   (at, random) => ({ kind: 'slow_endpoints', at, for: 4, share: 0.1 + 0.3 * random(), x: 2 + 6 * random() }),
@@ -21,9 +21,9 @@
   (at) => ({ kind: 'hopeless_jobs', at, for: 3, share: 0.05 })
 ]
 
-const between = (random: Random, from: number, to: number): number => from + random() * (to - from)
+const drawUniform = (random: Random, from: number, to: number): number => from + random() * (to - from)
 /** Small and large alike. */
-const betweenFactors = (random: Random, from: number, to: number): number => from * (to / from) ** random()
+const drawLogUniform = (random: Random, from: number, to: number): number => from * (to / from) ** random()
 
 /**
  * A scenario of sizes, mixes and troubles that nobody chose: 2 to 20 endpoints,
@@ -34,15 +34,15 @@
  * @param seed - the same seed gives the same scenario
  */
 export const drawScenario = (seed: number): Scenario => {
-  const random = sourceOf(seed, PURPOSE)
-  const endpoints = Math.round(betweenFactors(random, 2, 20))
-  const cpuMilli = Math.round(betweenFactors(random, 4000, 64_000))
+  const random = randomStream(seed, SCENARIO_STREAM)
+  const endpoints = Math.round(drawLogUniform(random, 2, 20))
+  const cpuMilli = Math.round(drawLogUniform(random, 4000, 64_000))
   const shares = Array.from({ length: 1 + Math.floor(random() * 6) }, () => 0.05 + random())
-  const load = between(random, 0.35, 1.2) * endpoints * cpuMilli
+  const load = drawUniform(random, 0.35, 1.2) * endpoints * cpuMilli
   const kinds = shares.map((share, index) => {
-    const kindCpu = betweenFactors(random, cpuMilli / 40, cpuMilli / 4)
-    const runMs = betweenFactors(random, 20, 8000)
-    const tasks = betweenFactors(random, 1, Math.min(12, endpoints * 2))
+    const kindCpu = drawLogUniform(random, cpuMilli / 40, cpuMilli / 4)
+    const runMs = drawLogUniform(random, 20, 8000)
+    const tasks = drawLogUniform(random, 1, Math.min(12, endpoints * 2))
     const milli = load * share / shares.reduce((sum, other) => sum + other, 0)
     return {
       name: `kind-${index}`,
@@ -56,8 +56,8 @@
       attempts: 2 + Math.floor(random() * 3)
     }
   })
-  const troubles = drawShare(random, TROUBLE_KINDS, (2 + Math.floor(random() * 2)) / TROUBLE_KINDS.length)
-    .map((make) => make(between(random, 1, SECONDS - 5), random))
+  const troubles = sampleShare(random, TROUBLE_DRAWS, (2 + Math.floor(random() * 2)) / TROUBLE_DRAWS.length)
+    .map((make) => make(drawUniform(random, 1, SECONDS - 5), random))
   return checkScenario({
     name: `drawn-${seed}`, seconds: SECONDS, zones: 1 + Math.floor(random() * 4), entries: { count: 1 + Math.floor(random() * 4) }, endpoints: { count: endpoints, cpuMilli, speeds: [1, 1, 1.3], sizes: [1, 1, 1.5] }, kinds, troubles
   }, `seed ${seed}`)
--- a/packages/lab/src/eventClock.ts
+++ b/packages/lab/src/eventClock.ts
@@ -1,7 +1,7 @@
 import type { Clock } from '@hazellift/common'
 import TinyQueue from 'tinyqueue'
 
-interface Event {
+interface ScheduledEvent {
   at: number
   /** Events of the same time happen in the order in which they were set. */
   order: number
@@ -9,19 +9,19 @@
 }
 
 /** Resolves once all promises that are ready have been followed. */
-const settled = (): Promise<void> => new Promise((resolve) => { setImmediate(resolve) })
+const flushPromises = (): Promise<void> => new Promise((resolve) => { setImmediate(resolve) })
 
 /** A clock that jumps from event to event. */
 export class EventClock implements Clock {
   private time = 0
-  private order = 0
-  private readonly events = new TinyQueue<Event>([], (a, b) => a.at - b.at || a.order - b.order)
+  private nextOrder = 0
+  private readonly events = new TinyQueue<ScheduledEvent>([], (a, b) => a.at - b.at || a.order - b.order)
 
   now = (): number => this.time
   wallNow = (): number => this.time
 
   after = (ms: number, fn: () => void): (() => void) => {
-    const event: Event = { at: this.time + Math.max(0, ms), order: this.order++, fn }
+    const event: ScheduledEvent = { at: this.time + Math.max(0, ms), order: this.nextOrder++, fn }
     this.events.push(event)
     return () => { event.fn = undefined }
   }
@@ -34,13 +34,13 @@
    * @param until - in ms
    */
   async runUntil (until: number): Promise<void> {
-    await settled()
+    await flushPromises()
     for (let next = this.events.peek(); next !== undefined && next.at <= until; next = this.events.peek()) {
       this.events.pop()
       if (next.fn === undefined) continue
       this.time = next.at
       next.fn()
-      await settled()
+      await flushPromises()
     }
     this.time = until
   }
--- a/packages/lab/src/figures.ts
+++ b/packages/lab/src/figures.ts
@@ -8,9 +8,9 @@
   arrival: Arrival
   end: CallerEnd
   /** From the first send to the answer, in ms. */
-  ms: number
+  responseMs: number
   /** Refused while an endpoint had room for one of its tasks. */
-  roomWasFree: boolean
+  hadFreeCapacity: boolean
 }
 
 /** What a run counts besides outcomes. */
@@ -29,8 +29,8 @@
   wasted: number
   tasksDone: number
   /** Looks at the world while a job waited anywhere, and the free part of all capacity at each, summed up. */
-  looksWaiting: number
-  idleSum: number
+  waitingSamples: number
+  idleShareSum: number
   /** Two runs of a task at a time, or an endpoint over its capacity: bugs. */
   violations: string[]
 }
@@ -70,29 +70,29 @@
 const LATE_VALUE = 0.2
 const LATE_FACTOR = 3
 const WINDOW_MS = 2000
-const LATE_REFUSAL = 0.25
+const LATE_REFUSAL_FACTOR = 0.25
 
-const valueOf = ({ arrival: { objectiveMs }, end, ms }: Outcome): number => {
+const valueOf = ({ arrival: { objectiveMs }, end, responseMs: ms }: Outcome): number => {
   if (end !== 'complete') return 0
   if (ms <= objectiveMs) return 1
   return ms <= LATE_FACTOR * objectiveMs ? LATE_VALUE : 0
 }
 
 /** Nobody is owed an answer who left before it could come in time, or whose job cannot be done. */
-const isOwed = ({ arrival: { job, patienceMs, objectiveMs } }: Outcome): boolean =>
+const isCounted = ({ arrival: { job, patienceMs, objectiveMs } }: Outcome): boolean =>
   patienceMs >= objectiveMs && !job.tasks.every(({ fails }) => fails)
 
 const worthOf = (outcomes: Outcome[]): number => {
   let earned = 0
-  let owed = 0
+  let possible = 0
   for (const outcome of outcomes) {
-    owed += outcome.arrival.job.weight
+    possible += outcome.arrival.job.weight
     earned += outcome.arrival.job.weight * valueOf(outcome)
   }
-  return owed === 0 ? 1 : earned / owed
+  return possible === 0 ? 1 : earned / possible
 }
 
-const groups = (outcomes: Outcome[], keyOf: (outcome: Outcome) => string | number): Outcome[][] => {
+const groupBy = (outcomes: Outcome[], keyOf: (outcome: Outcome) => string | number): Outcome[][] => {
   const byKey = new Map<string | number, Outcome[]>()
   for (const outcome of outcomes) byKey.set(keyOf(outcome), [...byKey.get(keyOf(outcome)) ?? [], outcome])
   return [...byKey.values()]
@@ -104,41 +104,41 @@
 }
 
 const largestTenth = (outcomes: Outcome[]): Outcome[] =>
-  groups(outcomes, ({ arrival }) => arrival.job.kind.name).flatMap((kind) =>
+  groupBy(outcomes, ({ arrival }) => arrival.job.kind.name).flatMap((kind) =>
     [...kind].sort((a, b) => b.arrival.job.weight - a.arrival.job.weight).slice(0, Math.ceil(kind.length / 10)))
 
-const shareOf = (outcomes: Outcome[], isMeant: (outcome: Outcome) => boolean): number =>
-  outcomes.length === 0 ? 0 : outcomes.filter(isMeant).length / outcomes.length
+const shareOf = (outcomes: Outcome[], matches: (outcome: Outcome) => boolean): number =>
+  outcomes.length === 0 ? 0 : outcomes.filter(matches).length / outcomes.length
 
 /** Share in time of each second, for plots. */
 export const inTimeBySecond = (outcomes: Outcome[], seconds: number): Array<number | null> =>
   Array.from({ length: Math.ceil(seconds) }, (_, second) => {
-    const those = outcomes.filter((outcome) => isOwed(outcome) && Math.floor(outcome.arrival.at / 1000) === second)
+    const those = outcomes.filter((outcome) => isCounted(outcome) && Math.floor(outcome.arrival.at / 1000) === second)
     return those.length === 0 ? null : shareOf(those, (outcome) => valueOf(outcome) === 1)
   })
 
 /** Nothing counted yet. */
-export const newCounts = (): Counts => ({
-  frames: 0, bytes: 0, entryCores: 0, agentCores: 0, starts: 0, startsInVain: 0, connections: 0, wasted: 0, tasksDone: 0, looksWaiting: 0, idleSum: 0, violations: []
+export const createCounts = (): Counts => ({
+  frames: 0, bytes: 0, entryCores: 0, agentCores: 0, starts: 0, startsInVain: 0, connections: 0, wasted: 0, tasksDone: 0, waitingSamples: 0, idleShareSum: 0, violations: []
 })
 
 /** Sums a run up. */
-export const toFigures = (all: Outcome[], counts: Counts): Figures => {
-  const outcomes = all.filter(isOwed)
+export const computeFigures = (all: Outcome[], counts: Counts): Figures => {
+  const outcomes = all.filter(isCounted)
   const served = outcomes.filter(({ end }) => end === 'complete')
-  const refused = (isMeant: (outcome: Outcome) => boolean) => shareOf(outcomes, (outcome) => outcome.end === 'refused' && isMeant(outcome))
+  const refusedShare = (matches: (outcome: Outcome) => boolean) => shareOf(outcomes, (outcome) => outcome.end === 'refused' && matches(outcome))
   return {
     worth: worthOf(outcomes),
     inTime: shareOf(outcomes, (outcome) => valueOf(outcome) === 1),
-    worstKind: worstOf(groups(outcomes, ({ arrival }) => arrival.job.kind.name)),
-    worstZone: worstOf(groups(outcomes, ({ arrival }) => arrival.zone)),
-    worstWindows: worstOf(groups(outcomes, ({ arrival }) => Math.floor(arrival.at / WINDOW_MS)), 2),
+    worstKind: worstOf(groupBy(outcomes, ({ arrival }) => arrival.job.kind.name)),
+    worstZone: worstOf(groupBy(outcomes, ({ arrival }) => arrival.zone)),
+    worstWindows: worstOf(groupBy(outcomes, ({ arrival }) => Math.floor(arrival.at / WINDOW_MS)), 2),
     largest: worthOf(largestTenth(outcomes)),
-    refused: refused(() => true),
-    refusedWithRoom: refused(({ roomWasFree }) => roomWasFree),
-    refusedLate: refused(({ ms, arrival }) => ms > LATE_REFUSAL * arrival.objectiveMs),
-    idleWhileWaiting: counts.idleSum / Math.max(1, counts.looksWaiting),
-    slowdown: served.reduce((sum, { ms, arrival }) => sum + ms / arrival.job.longestMs, 0) / Math.max(1, served.length),
+    refused: refusedShare(() => true),
+    refusedWithRoom: refusedShare(({ hadFreeCapacity: roomWasFree }) => roomWasFree),
+    refusedLate: refusedShare(({ responseMs: ms, arrival }) => ms > LATE_REFUSAL_FACTOR * arrival.objectiveMs),
+    idleWhileWaiting: counts.idleShareSum / Math.max(1, counts.waitingSamples),
+    slowdown: served.reduce((sum, { responseMs: ms, arrival }) => sum + ms / arrival.job.longestRunMs, 0) / Math.max(1, served.length),
     framesPerTask: counts.frames / Math.max(1, counts.tasksDone),
     bytesPerTask: counts.bytes / Math.max(1, counts.tasksDone),
     entryCores: counts.entryCores,
--- a/packages/lab/src/frameSender.ts
+++ b/packages/lab/src/frameSender.ts
@@ -3,17 +3,17 @@
 
 /** What a side of a session sends through. */
 export interface FrameSenderOptions<Frame> {
-  world: Clock
+  clock: Clock
   process: LabProcess
   /** Processor time of a frame, in ms of a whole core. */
-  costMs: number
+  cpuMs: number
   /** Time of the way. */
   delayMs: number
-  empty: () => Frame
+  createFrame: () => Frame
   /** Fills in what every frame carries, as it leaves. */
-  stamp: (frame: Frame) => void
+  fillFrame: (frame: Frame) => void
   /** Its size on the wire. */
-  bytesOf: (frame: Frame) => number
+  sizeOf: (frame: Frame) => number
   /** The frame is on its way. */
   deliver: (frame: Frame, delayMs: number, bytes: number) => void
 }
@@ -23,29 +23,29 @@
   /** When the last frame left. */
   sentAt: number
   private pending: Frame | undefined
-  private arrivesAt = 0
+  private lastArrivalAt = 0
 
   constructor (private readonly options: FrameSenderOptions<Frame>) {
-    this.sentAt = options.world.now()
+    this.sentAt = options.clock.now()
   }
 
   add = (change: (frame: Frame) => void): void => {
-    const { process, costMs, empty } = this.options
+    const { process, cpuMs: costMs, createFrame: empty } = this.options
     const isFirst = this.pending === undefined
     this.pending ??= empty()
     change(this.pending)
-    if (isFirst) process.work(costMs, () => this.flush())
+    if (isFirst) process.execute(costMs, () => this.flush())
   }
 
   private flush (): void {
-    const { world, process, delayMs, stamp, bytesOf, deliver } = this.options
+    const { clock: world, process, delayMs, fillFrame: stamp, sizeOf: bytesOf, deliver } = this.options
     const frame = this.pending!
     this.pending = undefined
     stamp(frame)
     this.sentAt = world.now()
     // One stream: no frame overtakes another.
     const bytes = bytesOf(frame)
-    this.arrivesAt = Math.max(world.now() + process.send(bytes) + delayMs, this.arrivesAt)
-    deliver(frame, this.arrivesAt - world.now(), bytes)
+    this.lastArrivalAt = Math.max(world.now() + process.send(bytes) + delayMs, this.lastArrivalAt)
+    deliver(frame, this.lastArrivalAt - world.now(), bytes)
   }
 }
--- a/packages/lab/src/lab.test.ts
+++ b/packages/lab/src/lab.test.ts
@@ -1,9 +1,9 @@
 import { POLICY } from '@hazellift/decisions'
 import { describe, expect, it } from 'vitest'
-import { playBound } from './bound.js'
+import { runBound } from './bound.js'
 import { drawScenario } from './drawScenario.js'
 import { runScenario } from './runScenario.js'
-import { BadScenario, checkScenario, readScenario } from './scenario.js'
+import { ScenarioError, checkScenario, readScenario } from './scenario.js'
 import type { Scenario } from './scenario.js'
 import { estimate, estimateDifference } from './statistics.js'
 import { drawTraffic } from './traffic.js'
@@ -51,7 +51,7 @@
   })
 
   it('one queue that knows everything is in time with nearly all of a calm load', async () => {
-    expect((await playBound(scenarioOf('calm'), 1)).worth).toBeGreaterThan(0.99)
+    expect((await runBound(scenarioOf('calm'), 1)).worth).toBeGreaterThan(0.99)
   })
 })
 
@@ -86,7 +86,7 @@
   })
 
   it('a file that cannot be read is named', () => {
-    expect(() => readScenario('/nowhere.toml')).toThrow(BadScenario)
+    expect(() => readScenario('/nowhere.toml')).toThrow(ScenarioError)
   })
 })
 
--- a/packages/lab/src/labEndpoint.ts
+++ b/packages/lab/src/labEndpoint.ts
@@ -5,7 +5,7 @@
 import { REASONS } from '@hazellift/protocol'
 
 /** What a task does once it runs. */
-export interface TaskTruth {
+export interface SimulatedTask {
   /** Run time at an endpoint of usual speed, in ms. */
   runMs: number
   fails: boolean
@@ -13,65 +13,65 @@
 }
 
 /** What the world knows of runs, over all endpoints. */
-export interface RunWatcher {
-  truthOf: (run: RunRef) => TaskTruth
-  began: (run: RunRef) => void
-  ended: (run: RunRef, how: RunEnd, ranMs: number) => void
-  overfilled: () => void
+export interface RunObserver {
+  taskOf: (run: RunRef) => SimulatedTask
+  onStarted: (run: RunRef) => void
+  onEnded: (run: RunRef, how: RunEnd, ranMs: number) => void
+  onOverCapacity: () => void
 }
 
 interface Run extends RunRef {
-  truth: TaskTruth
+  task: SimulatedTask
   startedAt: number
   /** Work left, as run time at an endpoint of usual speed. */
-  leftMs: number
+  remainingMs: number
   /** When `leftMs` was worked out. */
-  countedAt: number
+  updatedAt: number
   cancel: () => void
 }
 
-interface Waiter {
+interface PendingPoll {
   answer: (outcome: PollOutcome) => void
   cancel: () => void
 }
 
 /** Orders that get no answer are carried out after a time between these. */
-const LATE_MS = { from: 2000, to: 12_000 }
+const LATE_ORDER_DELAY_MS = { from: 2000, to: 12_000 }
 
 /** One life of an endpoint. */
 export class LabEndpoint {
   /** Orders without an answer. */
-  lostShare = 0
+  lostOrderShare = 0
   isFailing = false
   isUp = true
   private readonly runs = new Map<string, Run>()
   private readonly endedRuns = new Map<string, number>()
   private ends: ListedEnd[] = []
-  private waiters: Waiter[] = []
+  private pendingPolls: PendingPoll[] = []
   private sequence = 0
-  private until = 0
-  private lapseDue = false
-  private slow = 1
+  private leaseUntil = 0
+  private isExpiryScheduled = false
+  private slowdown = 1
 
   /**
    * @param clock - the world's
    * @param capacity - what it offers
    * @param speed - against usual run times; 1 is usual, 2 twice as fast
    * @param random - decides on lost orders
-   * @param watcher - told of every run
+   * @param observer - told of every run
    */
   constructor (
     private readonly clock: Clock,
     readonly capacity: Resources,
     private readonly speed: number,
     private readonly random: Random,
-    private readonly watcher: RunWatcher
+    private readonly observer: RunObserver
   ) {}
 
   /** What is not used. */
   get free (): Resources {
     const free = { ...this.capacity }
-    for (const { truth: { need } } of this.runs.values()) {
+    for (const { task: { need } } of this.runs.values()) {
       free.cpuMilli -= need.cpuMilli
       free.memoryMb -= need.memoryMb
     }
@@ -79,9 +79,9 @@
   }
 
   /** From now on runs take so many times as long; Infinity for standing still. */
-  setSlow (slow: number): void {
-    for (const run of this.runs.values()) this.count(run)
-    this.slow = slow
+  setSlowdown (slowdown: number): void {
+    for (const run of this.runs.values()) this.updateRemaining(run)
+    this.slowdown = slowdown
     for (const run of this.runs.values()) this.schedule(run)
   }
 
@@ -92,36 +92,36 @@
   }
 
   start (order: StartOrder, sentAt: number, answer: (outcome: StartOutcome) => void): void {
-    this.receive(() => this.onStart(order, sentAt), answer)
+    this.handleOrder(() => this.onStart(order, sentAt), answer)
   }
 
   stop (run: RunRef, answer: (isStopped: boolean) => void): void {
-    this.receive(() => this.onStop(run), answer)
+    this.handleOrder(() => this.onStop(run), answer)
   }
 
-  hold ({ runLeaseMs: holdMs, lastSeen, waitMs }: PollRequest, sentAt: number, answer: (outcome: PollOutcome) => void): void {
-    if (!this.isUp || this.random() < this.lostShare) return
-    if (holdMs !== undefined) this.holdUntil(sentAt + holdMs)
+  poll ({ runLeaseMs: holdMs, lastSeen, waitMs }: PollRequest, sentAt: number, answer: (outcome: PollOutcome) => void): void {
+    if (!this.isUp || this.random() < this.lostOrderShare) return
+    if (holdMs !== undefined) this.renewLease(sentAt + holdMs)
     this.ends = this.ends.filter(({ seq }) => seq > lastSeen)
-    if (waitMs === 0 || this.ends.length > 0) return answer(this.show())
-    const waiter: Waiter = { answer, cancel: this.clock.after(waitMs, () => this.tell(waiter)) }
-    this.waiters.push(waiter)
+    if (waitMs === 0 || this.ends.length > 0) return answer(this.listRuns())
+    const pending: PendingPoll = { answer, cancel: this.clock.after(waitMs, () => this.answerPoll(pending)) }
+    this.pendingPolls.push(pending)
   }
 
-  private receive<T> (act: () => T, answer: (outcome: T) => void): void {
+  private handleOrder<T> (act: () => T, answer: (outcome: T) => void): void {
     if (!this.isUp) return
-    if (this.random() >= this.lostShare) return answer(act())
-    const delayMs = LATE_MS.from + this.random() * (LATE_MS.to - LATE_MS.from)
+    if (this.random() >= this.lostOrderShare) return answer(act())
+    const delayMs = LATE_ORDER_DELAY_MS.from + this.random() * (LATE_ORDER_DELAY_MS.to - LATE_ORDER_DELAY_MS.from)
     this.clock.after(delayMs, () => { if (this.isUp) act() })
   }
 
-  private tell (waiter: Waiter): void {
-    waiter.cancel()
-    this.waiters = this.waiters.filter((other) => other !== waiter)
-    waiter.answer(this.show())
+  private answerPoll (pending: PendingPoll): void {
+    pending.cancel()
+    this.pendingPolls = this.pendingPolls.filter((other) => other !== pending)
+    pending.answer(this.listRuns())
   }
 
-  private show (): PollOutcome {
+  private listRuns (): PollOutcome {
     return { type: 'listed', running: [...this.runs.values()].map(({ submission, index, run }) => ({ submission, index, run })), ended: [...this.ends] }
   }
 
@@ -130,13 +130,13 @@
     const now = this.clock.now()
     if (run <= (this.endedRuns.get(name) ?? 0)) return { type: 'number_used' }
     if (sentAt + holdMs <= now) return { type: 'refused', reason: REASONS.endpointBusy }
-    this.holdUntil(sentAt + holdMs)
+    this.renewLease(sentAt + holdMs)
     if (this.runs.has(name)) return { type: 'started' }
-    const truth = this.watcher.truthOf({ submission, index, run })
-    const started: Run = { submission, index, run, truth, startedAt: now, leftMs: truth.runMs, countedAt: now, cancel: () => {} }
+    const task = this.observer.taskOf({ submission, index, run })
+    const started: Run = { submission, index, run, task: task, startedAt: now, remainingMs: task.runMs, updatedAt: now, cancel: () => {} }
     this.runs.set(name, started)
-    this.watcher.began(started)
-    if (this.free.cpuMilli < 0 || this.free.memoryMb < 0) this.watcher.overfilled()
+    this.observer.onStarted(started)
+    if (this.free.cpuMilli < 0 || this.free.memoryMb < 0) this.observer.onOverCapacity()
     this.schedule(started)
     return { type: 'started' }
   }
@@ -149,28 +149,28 @@
     return true
   }
 
-  private count (run: Run): void {
+  private updateRemaining (run: Run): void {
     const now = this.clock.now()
-    run.leftMs -= (now - run.countedAt) * this.speed / this.slow
-    run.countedAt = now
+    run.remainingMs -= (now - run.updatedAt) * this.speed / this.slowdown
+    run.updatedAt = now
   }
 
   private schedule (run: Run): void {
     run.cancel()
-    if (this.slow === Infinity) return
-    run.cancel = this.clock.after(run.leftMs * this.slow / this.speed, () => {
-      this.finish(run, this.isFailing || run.truth.fails ? RUN_ENDS.failed : RUN_ENDS.done)
+    if (this.slowdown === Infinity) return
+    run.cancel = this.clock.after(run.remainingMs * this.slowdown / this.speed, () => {
+      this.finish(run, this.isFailing || run.task.fails ? RUN_ENDS.failed : RUN_ENDS.done)
     })
   }
 
-  private holdUntil (until: number): void {
-    this.until = Math.max(this.until, until)
-    if (this.lapseDue) return
-    this.lapseDue = true
-    this.clock.after(this.until - this.clock.now(), () => {
-      this.lapseDue = false
+  private renewLease (until: number): void {
+    this.leaseUntil = Math.max(this.leaseUntil, until)
+    if (this.isExpiryScheduled) return
+    this.isExpiryScheduled = true
+    this.clock.after(this.leaseUntil - this.clock.now(), () => {
+      this.isExpiryScheduled = false
       if (this.runs.size === 0) return
-      if (this.clock.now() < this.until) return this.holdUntil(this.until)
+      if (this.clock.now() < this.leaseUntil) return this.renewLease(this.leaseUntil)
       for (const run of [...this.runs.values()]) this.finish(run, RUN_ENDS.lapsed)
     })
   }
@@ -181,8 +181,8 @@
     run.cancel()
     this.runs.delete(name)
     this.endedRuns.set(name, Math.max(run.run, this.endedRuns.get(name) ?? 0))
-    this.watcher.ended(run, how, this.clock.now() - run.startedAt)
+    this.observer.onEnded(run, how, this.clock.now() - run.startedAt)
     this.ends.push({ seq: ++this.sequence, submission: run.submission, index: run.index, run: run.run, how })
-    for (const waiter of [...this.waiters]) this.tell(waiter)
+    for (const pending of [...this.pendingPolls]) this.answerPoll(pending)
   }
 }
--- a/packages/lab/src/labLink.ts
+++ b/packages/lab/src/labLink.ts
@@ -29,39 +29,39 @@
 }
 
 /** Times and costs of sessions, in ms. */
-export interface LinkTimes {
+export interface LinkSettings {
   sameZoneMs: number
   crossZoneMs: number
   agent: SideTimes
   entry: SideTimes
   /** Processor time for each frame, at the side that sends it and at the one that reads it. */
-  frameCostMs: number
+  frameCpuMs: number
   /** Processor time of a new session, at each side. */
-  openCostMs: number
+  openCpuMs: number
   /** Bytes of a frame beside the message: headers of HTTP/2, its envelope, TCP and IP. */
   frameBytes: number
 }
 
 /** The same times as on the platform; costs and bytes are assumed, not measured. */
-export const LINK_TIMES: LinkTimes = {
+export const LINK_SETTINGS: LinkSettings = {
   sameZoneMs: 0.2,
   crossZoneMs: 0.5,
   agent: { busy: { keepAliveMs: 150, timeoutMs: 500 }, idle: { keepAliveMs: 300, timeoutMs: 1000 } },
   entry: { busy: { keepAliveMs: 200, timeoutMs: 500 }, idle: { keepAliveMs: 400, timeoutMs: 1000 } },
-  frameCostMs: 0.1,
-  openCostMs: 2,
+  frameCpuMs: 0.1,
+  openCpuMs: 2,
   frameBytes: 80
 }
 
 /** What a link needs. */
 export interface LabLinkOptions {
-  world: Clock
+  clock: Clock
   /** The processes at its ends now. */
   agent: () => LabAgent
   entry: () => LabEntry
   /** Entries that the entry lists. */
-  listed: () => EntryLocation[]
-  times?: LinkTimes
+  entryLocations: () => EntryLocation[]
+  settings?: LinkSettings
 }
 
 /** The way between an agent and an entry, with the session that stands on it. */
@@ -72,34 +72,34 @@
   frames = 0
   bytes = 0
   private session: LabSession | undefined
-  private held: Array<() => void> = []
-  private readonly times: LinkTimes
+  private delayedFrames: Array<() => void> = []
+  private readonly settings: LinkSettings
 
   constructor (private readonly options: LabLinkOptions) {
-    this.times = options.times ?? LINK_TIMES
+    this.settings = options.settings ?? LINK_SETTINGS
   }
 
   /** Holds one session, until both sides have ended. */
   dial (handle: DialHandle): Promise<void> {
-    const { world, listed } = this.options
+    const { clock: world, entryLocations: listed } = this.options
     const agent = this.options.agent()
     const entry = this.options.entry()
     return new Promise((resolve) => {
       // A silent link lets the agent wait, a process that is gone refuses at once.
-      if (this.isSilent) return world.after(this.times.agent.busy.timeoutMs, resolve)
+      if (this.isSilent) return world.after(this.settings.agent.busy.timeoutMs, resolve)
       world.after(2 * this.delayMs, () => {
         if (!agent.process.isUp || !entry.process.isUp) return resolve()
-        for (const { process } of [agent, entry]) process.work(this.times.openCostMs, () => {})
-        this.held = []
+        for (const { process } of [agent, entry]) process.execute(this.settings.openCpuMs, () => {})
+        this.delayedFrames = []
         this.session = new LabSession({
-          world,
+          clock: world,
           agent,
           entry,
-          times: this.times,
+          settings: this.settings,
           delayMs: this.delayMs,
           isSilent: () => this.isSilent,
-          arrive: (delayMs, bytes, to, fn) => this.arrive(delayMs, bytes, to, fn),
-          onOver: resolve
+          deliver: (delayMs, bytes, to, fn) => this.deliver(delayMs, bytes, to, fn),
+          onEnded: resolve
         })
         handle.retired.addEventListener('abort', () => this.session?.retire())
         handle.onOpen()
@@ -116,20 +116,20 @@
   /** The link falls silent, or what was held up arrives. */
   setSilent (isSilent: boolean): void {
     this.isSilent = isSilent
-    if (!isSilent) for (const fn of this.held.splice(0)) fn()
+    if (!isSilent) for (const fn of this.delayedFrames.splice(0)) fn()
   }
 
   private get delayMs (): number {
-    return this.options.agent().zone === this.options.entry().zone ? this.times.sameZoneMs : this.times.crossZoneMs
+    return this.options.agent().zone === this.options.entry().zone ? this.settings.sameZoneMs : this.settings.crossZoneMs
   }
 
   /** A frame arrives, is held up by a silent link, and is read once the process gets to it. */
-  private arrive (delayMs: number, bytes: number, to: LabProcess, fn: () => void): void {
+  private deliver (delayMs: number, bytes: number, to: LabProcess, fn: () => void): void {
     this.bytes += bytes
-    const read = (): void => to.receive(bytes, () => to.work(this.times.frameCostMs, () => {
+    const read = (): void => to.receive(bytes, () => to.execute(this.settings.frameCpuMs, () => {
       this.frames++
       fn()
     }))
-    this.options.world.after(delayMs, () => { if (this.isSilent) this.held.push(read); else read() })
+    this.options.clock.after(delayMs, () => { if (this.isSilent) this.delayedFrames.push(read); else read() })
   }
 }
--- a/packages/lab/src/labSession.ts
+++ b/packages/lab/src/labSession.ts
@@ -4,29 +4,29 @@
 import { AgentFrameSchema, EntryFrameSchema, HelloSchema } from '@hazellift/protocol'
 import type { AgentFrame, EntryFrame } from '@hazellift/protocol'
 import { FrameSender } from './frameSender.js'
-import type { LabAgent, LabEntry, LinkTimes, SideTimes } from './labLink.js'
+import type { LabAgent, LabEntry, LinkSettings, SideTimes } from './labLink.js'
 import type { LabProcess } from './labProcess.js'
 
 /** What a session needs. */
 export interface LabSessionOptions {
-  world: Clock
+  clock: Clock
   agent: LabAgent
   entry: LabEntry
-  times: LinkTimes
+  settings: LinkSettings
   /** Time of the way. */
   delayMs: number
   /** True while nothing arrives, no end of a connection either. */
   isSilent: () => boolean
   /** A frame is on its way; `fn` reads it. */
-  arrive: (delayMs: number, bytes: number, to: LabProcess, fn: () => void) => void
+  deliver: (delayMs: number, bytes: number, to: LabProcess, fn: () => void) => void
   /** Both sides have ended. */
-  onOver: () => void
+  onEnded: () => void
 }
 
 /** One side, as its process sees it. */
-interface Side {
+interface SessionSide {
   isOpen: boolean
-  readAt: number
+  receivedAt: number
   process: LabProcess
   times: SideTimes
   /** True while orders are out. */
@@ -36,14 +36,14 @@
 }
 
 /** How often silence is looked for. */
-const WATCH_MS = 125
+const TIMEOUT_CHECK_MS = 125
 /** How often a session that is not wanted any more is looked at. */
 const RETIRE_CHECK_MS = 250
 
 /** One session of an agent with an entry, from its dialling until both sides have ended. */
 export class LabSession {
-  private readonly agentSide: Side
-  private readonly entrySide: Side
+  private readonly agentSide: SessionSide
+  private readonly entrySide: SessionSide
   private readonly toEntry: FrameSender<AgentFrame>
   private readonly toAgent: FrameSender<EntryFrame>
   private readonly link: AgentLink
@@ -51,11 +51,11 @@
   private acked = 0n
 
   constructor (private readonly options: LabSessionOptions) {
-    const { world, agent, entry, times, delayMs } = options
+    const { clock: world, agent, entry, settings: times, delayMs } = options
     const now = world.now()
     this.agentSide = {
       isOpen: true,
-      readAt: now,
+      receivedAt: now,
       process: agent.process,
       times: times.agent,
       isBusy: () => agent.host.isBusyWith(entry.incarnation),
@@ -63,7 +63,7 @@
     }
     this.entrySide = {
       isOpen: true,
-      readAt: now,
+      receivedAt: now,
       process: entry.process,
       times: times.entry,
       isBusy: () => this.handle !== undefined && entry.dispatcher.sessions.isBusyWith(this.handle),
@@ -75,28 +75,28 @@
       close: () => this.end(this.entrySide)
     }
     const { frameBytes } = times
-    const common = { world, costMs: times.frameCostMs, delayMs }
+    const common = { world, costMs: times.frameCpuMs, delayMs }
     this.toEntry = new FrameSender<AgentFrame>({
       ...common,
       process: agent.process,
-      empty: () => create(AgentFrameSchema),
-      stamp: (frame) => { if (this.agentSide.isOpen) agent.host.fillFrame(entry.incarnation, frame) },
-      bytesOf: (frame) => frameBytes + toBinary(AgentFrameSchema, frame).length,
-      deliver: (frame, ms, bytes) => options.arrive(ms, bytes, entry.process, () => this.atEntry(frame))
+      createFrame: () => create(AgentFrameSchema),
+      fillFrame: (frame) => { if (this.agentSide.isOpen) agent.host.fillFrame(entry.incarnation, frame) },
+      sizeOf: (frame) => frameBytes + toBinary(AgentFrameSchema, frame).length,
+      deliver: (frame, ms, bytes) => options.deliver(ms, bytes, entry.process, () => this.onFrameAtEntry(frame))
     })
     this.toAgent = new FrameSender<EntryFrame>({
       ...common,
       process: entry.process,
-      empty: () => create(EntryFrameSchema),
-      stamp: (frame) => this.stamp(frame),
-      bytesOf: (frame) => frameBytes + toBinary(EntryFrameSchema, frame).length,
-      deliver: (frame, ms, bytes) => options.arrive(ms, bytes, agent.process, () => this.atAgent(frame))
+      createFrame: () => create(EntryFrameSchema),
+      fillFrame: (frame) => this.fillFrame(frame),
+      sizeOf: (frame) => frameBytes + toBinary(EntryFrameSchema, frame).length,
+      deliver: (frame, ms, bytes) => options.deliver(ms, bytes, agent.process, () => this.onFrameAtAgent(frame))
     })
     agent.host.openSession(entry.incarnation, this.add)
     this.add((frame) => { frame.hello = create(HelloSchema, { agentId: agent.id, incarnation: agent.incarnation, zone: agent.zone }) })
-    for (const side of [this.agentSide, this.entrySide]) this.watch(side)
-    this.keepAlive(this.agentSide, this.toEntry)
-    this.keepAlive(this.entrySide, this.toAgent)
+    for (const side of [this.agentSide, this.entrySide]) this.checkTimeout(side)
+    this.sendKeepAlives(this.agentSide, this.toEntry)
+    this.sendKeepAlives(this.entrySide, this.toAgent)
   }
 
   /** The agent does not want it any more: it ends once nothing of the entry is left there. */
@@ -118,56 +118,56 @@
 
   private readonly add: AddToFrame = (change) => { if (this.agentSide.isOpen) this.toEntry.add(change) }
 
-  private stamp (frame: EntryFrame): void {
+  private fillFrame (frame: EntryFrame): void {
     frame.ackedSeq = this.acked
     if (this.handle !== undefined && this.entrySide.isOpen) this.options.entry.dispatcher.sessions.fillFrame(this.handle, frame)
   }
 
-  private atEntry (frame: AgentFrame): void {
+  private onFrameAtEntry (frame: AgentFrame): void {
     if (!this.entrySide.isOpen) return
     const { sessions } = this.options.entry.dispatcher
-    this.entrySide.readAt = this.options.world.now()
+    this.entrySide.receivedAt = this.options.clock.now()
     if (frame.hello !== undefined) this.handle = sessions.open(frame.hello, this.link)
     if (this.handle !== undefined) sessions.onFrame(this.handle, this.link, frame)
   }
 
-  private atAgent (frame: EntryFrame): void {
+  private onFrameAtAgent (frame: EntryFrame): void {
     if (!this.agentSide.isOpen) return
-    const { agent, entry, world } = this.options
-    this.agentSide.readAt = world.now()
+    const { agent, entry, clock: world } = this.options
+    this.agentSide.receivedAt = world.now()
     agent.host.onFrame(entry.incarnation, this.add, frame)
   }
 
-  private end (side: Side): void {
+  private end (side: SessionSide): void {
     if (!side.isOpen) return
-    const { world, delayMs, isSilent, onOver } = this.options
+    const { clock: world, delayMs, isSilent, onEnded: onOver } = this.options
     const other = side === this.agentSide ? this.entrySide : this.agentSide
     side.isOpen = false
     if (side.process.isUp) side.onEnd()
     // A process that stands still hears of an end later; one that is gone has ended its side itself.
-    const hear = (): void => other.process.isUp ? other.process.run(() => this.end(other)) : this.end(other)
-    if (other.isOpen && !isSilent()) world.after(delayMs, hear)
+    const endOther = (): void => other.process.isUp ? other.process.run(() => this.end(other)) : this.end(other)
+    if (other.isOpen && !isSilent()) world.after(delayMs, endOther)
     if (!other.isOpen) onOver()
   }
 
-  private timesOf (side: Side): SideTimes['busy'] {
+  private sideTimes (side: SessionSide): SideTimes['busy'] {
     return side.isBusy() ? side.times.busy : side.times.idle
   }
 
-  private watch (side: Side): void {
-    const { world } = this.options
+  private checkTimeout (side: SessionSide): void {
+    const { clock: world } = this.options
     if (!side.isOpen || !side.process.isUp) return
-    const { timeoutMs } = this.timesOf(side)
-    if (world.now() - side.readAt > timeoutMs) return this.end(side)
-    side.process.clock.after(WATCH_MS, () => this.watch(side))
+    const { timeoutMs } = this.sideTimes(side)
+    if (world.now() - side.receivedAt > timeoutMs) return this.end(side)
+    side.process.clock.after(TIMEOUT_CHECK_MS, () => this.checkTimeout(side))
   }
 
   /** Looks as often as a busy session must show that it lives. */
-  private keepAlive (side: Side, sender: Pick<FrameSender<object>, 'sentAt' | 'add'>): void {
+  private sendKeepAlives (side: SessionSide, sender: Pick<FrameSender<object>, 'sentAt' | 'add'>): void {
     if (!side.isOpen) return
-    const quietMs = this.options.world.now() - sender.sentAt
-    if (quietMs >= this.timesOf(side).keepAliveMs) sender.add(() => {})
+    const sinceSentMs = this.options.clock.now() - sender.sentAt
+    if (sinceSentMs >= this.sideTimes(side).keepAliveMs) sender.add(() => {})
     const { keepAliveMs } = side.times.busy
-    side.process.clock.after(quietMs >= keepAliveMs ? keepAliveMs : Math.max(1, keepAliveMs - quietMs), () => this.keepAlive(side, sender))
+    side.process.clock.after(sinceSentMs >= keepAliveMs ? keepAliveMs : Math.max(1, keepAliveMs - sinceSentMs), () => this.sendKeepAlives(side, sender))
   }
 }
--- a/packages/lab/src/labWorld.ts
+++ b/packages/lab/src/labWorld.ts
@@ -6,12 +6,12 @@
 import type { EntryLocation, Policy, Resources } from '@hazellift/decisions'
 import { REASONS } from '@hazellift/protocol'
 import { EntryDialer } from '@hazellift/sessions'
-import { createLabCaller } from './createLabCaller.js'
-import { sourceOf } from './draw.js'
+import { createLabEndpointClient } from './createLabEndpointClient.js'
+import { randomStream } from './draw.js'
 import { EventClock } from './eventClock.js'
-import { newCounts } from './figures.js'
+import { createCounts } from './figures.js'
 import type { Counts } from './figures.js'
-import type { DrawnJob } from './jobDraw.js'
+import type { SimulatedJob } from './drawJob.js'
 import { LabEndpoint } from './labEndpoint.js'
 import { LabLink } from './labLink.js'
 import type { LabAgent, LabEntry } from './labLink.js'
@@ -20,20 +20,20 @@
 
 /** The same chain of times as on the platform. */
 export const LEASE_TIMES: LeaseTimes = { entryLeaseMs: 600, runLeaseMs: 500, stopMs: 50, clockFactor: 1.02 }
-const HOLD_WAIT_MS = 100
-const SWEEP_MS = 25
+const POLL_WAIT_MS = 100
+const SWEEP_INTERVAL_MS = 25
 /** How often free room is looked at. */
-const LOOK_MS = 5
-const SET_ASIDE_SHARE = 0.4
-const SET_ASIDE_MS = { base: 1000, most: 8000 }
+const SAMPLE_INTERVAL_MS = 5
+const MAX_EJECTED_SHARE = 0.4
+const EJECTION_MS = { base: 1000, most: 8000 }
 /** Purposes of random sources; those of the kinds of jobs are the numbers from 0. */
-const PURPOSES = { entries: 40, endpoints: 50, dialers: 60, troubles: 62 } as const
+const RANDOM_STREAMS = { entries: 40, endpoints: 50, dialers: 60, troubles: 62 } as const
 
 /** Name of the availability zone of this number. */
 export const zoneName = (zone: number): string => `zone-${zone}`
 
 /** Item of a list that is gone through by turns. */
-const turn = <T>(items: readonly T[], index: number): T => items[index % items.length]!
+const roundRobin = <T>(items: readonly T[], index: number): T => items[index % items.length]!
 
 /** A place for an entry's process, with the process that runs there now. */
 export interface EntrySlot extends LabEntry {
@@ -46,7 +46,7 @@
   endpoint: LabEndpoint
 }
 
-const EVENTS: LeasedDispatchEvents = {
+const NO_EVENTS: LeasedDispatchEvents = {
   ended: () => {}, sent: () => {}, moved: () => {}, requeued: () => {}, suspected: () => {}, result: () => {}, agentChanged: () => {}, agentLost: () => {}, configSeen: () => {}, evacuationsChanged: () => {}
 }
 
@@ -57,30 +57,30 @@
   readonly agents: AgentSlot[]
   /** By agent and entry. */
   readonly links: LabLink[][]
-  readonly counts: Counts = newCounts()
+  readonly counts: Counts = createCounts()
   /** Draws what troubles meet. */
   readonly random: Random
-  private readonly jobs = new Map<string, DrawnJob>()
+  private readonly jobs = new Map<string, SimulatedJob>()
   private readonly running = new Map<string, number>()
-  private lives = 0
+  private incarnations = 0
   private configVersion = 0n
 
   constructor (readonly scenario: Scenario, private readonly seed: number, private readonly policy: Policy) {
-    this.random = sourceOf(seed, PURPOSES.troubles)
+    this.random = randomStream(seed, RANDOM_STREAMS.troubles)
     this.agents = Array.from({ length: scenario.endpoints.count }, (_, index) => this.newAgent(index, this.newEndpoint(index)))
     this.entries = Array.from({ length: scenario.entries.count }, (_, index) => this.newEntry(index))
     this.links = this.agents.map(({ index: agent }) => this.entries.map((_, entry) => this.newLink(agent, entry)))
     for (const agent of this.agents) this.startDialer(agent)
-    this.look()
+    this.sampleIdleCapacity()
   }
 
   /** What the world knows of a job from now on. */
-  know (job: DrawnJob): void {
+  addJob (job: SimulatedJob): void {
     this.jobs.set(job.id, job)
   }
 
   /** True if an endpoint has room for a task. */
-  hasRoomFor (need: Resources): boolean {
+  hasFreeCapacityFor (need: Resources): boolean {
     return this.agents.some(({ endpoint }) => endpoint.isUp && fits(need, endpoint.free))
   }
 
@@ -104,27 +104,27 @@
   }
 
   /** The endpoint crashes; another life begins after a while, or never. */
-  loseEndpoint (index: number, downMs: number): void {
+  crashEndpoint (index: number, downMs: number): void {
     const agent = this.agents[index]!
     agent.endpoint.crash()
     if (downMs === 0) return
     this.clock.after(downMs, () => {
-      const now = this.agents[index]!
-      now.endpoint = this.newEndpoint(index)
-      if (now.process.isUp) this.announce(now)
+      const current = this.agents[index]!
+      current.endpoint = this.newEndpoint(index)
+      if (current.process.isUp) this.announce(current)
     })
   }
 
   /** Counts room that is free while a job waits. */
-  private look (): void {
-    this.clock.after(LOOK_MS, () => this.look())
+  private sampleIdleCapacity (): void {
+    this.clock.after(SAMPLE_INTERVAL_MS, () => this.sampleIdleCapacity())
     const isWaiting = this.entries.some(({ process, dispatcher }) => process.isUp && dispatcher.waitingJobs > 0)
     if (!isWaiting) return
-    const sound = this.agents.filter(({ endpoint }) => endpoint.isUp)
-    const free = sound.reduce((sum, { endpoint }) => sum + Math.max(0, endpoint.free.cpuMilli), 0)
-    const all = sound.reduce((sum, { endpoint }) => sum + endpoint.capacity.cpuMilli, 0)
-    this.counts.looksWaiting++
-    this.counts.idleSum += free / Math.max(1, all)
+    const up = this.agents.filter(({ endpoint }) => endpoint.isUp)
+    const free = up.reduce((sum, { endpoint }) => sum + Math.max(0, endpoint.free.cpuMilli), 0)
+    const all = up.reduce((sum, { endpoint }) => sum + endpoint.capacity.cpuMilli, 0)
+    this.counts.waitingSamples++
+    this.counts.idleShareSum += free / Math.max(1, all)
   }
 
   /** A new version of the configuration is read by all entries that live. */
@@ -135,29 +135,29 @@
   }
 
   /** Sums up what links carried and what processes worked. */
-  countUp (): void {
+  collectCounts (): void {
     for (const link of this.links.flat()) {
       this.counts.frames += link.frames
       this.counts.bytes += link.bytes
     }
-    const meanCores = (processes: LabProcess[]): number => processes.reduce((sum, { workedMs }) => sum + workedMs, 0) / processes.length / this.clock.now()
+    const meanCores = (processes: LabProcess[]): number => processes.reduce((sum, { cpuMs: workedMs }) => sum + workedMs, 0) / processes.length / this.clock.now()
     this.counts.entryCores = meanCores(this.entries.map(({ process }) => process))
     this.counts.agentCores = meanCores(this.agents.map(({ process }) => process))
   }
 
   private newLink (agent: number, entry: number): LabLink {
-    return new LabLink({ world: this.clock, agent: () => this.agents[agent]!, entry: () => this.entries[entry]!, listed: () => this.places })
+    return new LabLink({ clock: this.clock, agent: () => this.agents[agent]!, entry: () => this.entries[entry]!, entryLocations: () => this.entryLocations })
   }
 
   /** The rows of entries stay in the store while their processes are away. */
-  private get places (): EntryLocation[] {
+  private get entryLocations (): EntryLocation[] {
     return this.entries.map(({ zone }, index) => ({ address: String(index), zone }))
   }
 
   private startDialer ({ process, index, id, zone }: AgentSlot): void {
     const dialer = new EntryDialer({
       clock: process.clock,
-      random: sourceOf(this.seed + index, PURPOSES.dialers),
+      random: randomStream(this.seed + index, RANDOM_STREAMS.dialers),
       zone,
       score: (address) => rendezvousScore(id, address),
       limits: this.scenario.part,
@@ -165,7 +165,7 @@
       seedIntervalMs: 0,
       dial: (address, handle) => this.links[index]![Number(address)]!.dial(handle)
     })
-    dialer.onLookedUp(this.places)
+    dialer.onLookedUp(this.entryLocations)
   }
 
   private zoneOf (index: number): string {
@@ -174,24 +174,24 @@
 
   private newEntry (index: number): EntrySlot {
     const { cores, megabits } = this.scenario.entries
-    const process = new LabProcess(this.clock, turn(cores, index), megabits === undefined ? Infinity : turn(megabits, index))
+    const process = new LabProcess(this.clock, roundRobin(cores, index), megabits === undefined ? Infinity : roundRobin(megabits, index))
     const dispatcher = new LeasedDispatcher({
       clock: process.clock,
-      random: sourceOf(this.seed + this.lives, PURPOSES.entries),
+      random: randomStream(this.seed + this.incarnations, RANDOM_STREAMS.entries),
       zone: this.zoneOf(index),
       times: LEASE_TIMES,
-      events: { ...EVENTS, sent: (_job, _agent, tasks) => { this.counts.starts += tasks.length } },
-      maxEjectedShare: SET_ASIDE_SHARE,
-      ejectionBackoff: (times) => Math.min(SET_ASIDE_MS.most, SET_ASIDE_MS.base * 2 ** (times - 1)),
+      events: { ...NO_EVENTS, sent: (_job, _agent, tasks) => { this.counts.starts += tasks.length } },
+      maxEjectedShare: MAX_EJECTED_SHARE,
+      ejectionBackoff: (times) => Math.min(EJECTION_MS.most, EJECTION_MS.base * 2 ** (times - 1)),
       defer: (fn) => { process.clock.after(0, fn) },
       policy: this.policy
     })
     const sweep = (): void => {
       dispatcher.sweep()
-      process.clock.after(SWEEP_MS, sweep)
+      process.clock.after(SWEEP_INTERVAL_MS, sweep)
     }
     sweep()
-    return { process, zone: this.zoneOf(index), incarnation: `entry-${index}-${this.lives++}`, dispatcher, jobs: new LeasedJobs(process.clock, dispatcher) }
+    return { process, zone: this.zoneOf(index), incarnation: `entry-${index}-${this.incarnations++}`, dispatcher, jobs: new LeasedJobs(process.clock, dispatcher) }
   }
 
   private newAgent (index: number, endpoint: LabEndpoint): AgentSlot {
@@ -200,12 +200,12 @@
       clock: process.clock,
       zone: this.zoneOf(index),
       times: LEASE_TIMES,
-      pollWaitMs: HOLD_WAIT_MS,
+      pollWaitMs: POLL_WAIT_MS,
       log: () => {},
       observe: ({ reason }) => { if (reason === REASONS.noSlot) this.counts.startsInVain++ },
       offer: this.policy.offer
     })
-    const agent: AgentSlot = { process, id: `agent-${index}`, zone: this.zoneOf(index), incarnation: `agent-${index}-${this.lives++}`, host, index, endpoint }
+    const agent: AgentSlot = { process, id: `agent-${index}`, zone: this.zoneOf(index), incarnation: `agent-${index}-${this.incarnations++}`, host, index, endpoint }
     this.announce(agent)
     return agent
   }
@@ -214,10 +214,10 @@
     if (!endpoint.isUp) return
     host.setEndpoint({
       service: 's',
-      incarnation: `${id}-${this.lives++}`,
+      incarnation: `${id}-${this.incarnations++}`,
       address: '',
       capacity: endpoint.capacity,
-      endpoint: createLabCaller(process, endpoint, () => { this.counts.connections++ })
+      endpoint: createLabEndpointClient(process, endpoint, () => { this.counts.connections++ })
     })
   }
 
@@ -225,15 +225,15 @@
     const { sizes, speeds, cpuMilli, memoryMb } = this.scenario.endpoints
     const size = sizes[index % sizes.length]!
     const capacity = { cpuMilli: Math.round(cpuMilli * size), memoryMb: Math.round(memoryMb * size) }
-    return new LabEndpoint(this.clock, capacity, speeds[index % speeds.length]!, sourceOf(this.seed + 1000 * this.lives++, PURPOSES.endpoints), {
-      truthOf: (run) => this.jobs.get(run.submission)!.tasks[run.index]!,
-      began: (run) => this.onBegan(run),
-      ended: (run, how, ranMs) => this.onEnded(run, how, ranMs),
-      overfilled: () => { this.counts.violations.push(`endpoint ${index} over its capacity at ${this.clock.now()}`) }
+    return new LabEndpoint(this.clock, capacity, speeds[index % speeds.length]!, randomStream(this.seed + 1000 * this.incarnations++, RANDOM_STREAMS.endpoints), {
+      taskOf: (run) => this.jobs.get(run.submission)!.tasks[run.index]!,
+      onStarted: (run) => this.onStarted(run),
+      onEnded: (run, how, ranMs) => this.onEnded(run, how, ranMs),
+      onOverCapacity: () => { this.counts.violations.push(`endpoint ${index} over its capacity at ${this.clock.now()}`) }
     })
   }
 
-  private onBegan ({ submission, index }: RunRef): void {
+  private onStarted ({ submission, index }: RunRef): void {
     const name = `${submission}/${index}`
     const runs = (this.running.get(name) ?? 0) + 1
     this.running.set(name, runs)
--- a/packages/lab/src/plot.ts
+++ b/packages/lab/src/plot.ts
@@ -5,7 +5,7 @@
 const HEIGHT = 360
 
 const meanAt = (results: WorkResult[], second: number): number | null => {
-  const values = results.map(({ seconds }) => seconds[second]).filter((value) => typeof value === 'number')
+  const values = results.map(({ inTimeBySecond: seconds }) => seconds[second]).filter((value) => typeof value === 'number')
   return values.length === 0 ? null : Number((values.reduce((sum, value) => sum + value, 0) / values.length).toFixed(4))
 }
 
@@ -17,7 +17,7 @@
  * @returns an SVG document
  */
 export const plotInTime = (title: string, series: WorkResult[][]): string => {
-  const length = Math.max(...series.flatMap((results) => results.map(({ seconds }) => seconds.length)))
+  const length = Math.max(...series.flatMap((results) => results.map(({ inTimeBySecond: seconds }) => seconds.length)))
   const seconds = Array.from({ length }, (_, second) => second)
   const chart = echarts.init(null, null, { renderer: 'svg', ssr: true, width: WIDTH, height: HEIGHT })
   chart.setOption({
--- a/packages/lab/src/playAll.ts
+++ b/packages/lab/src/runAll.ts
@@ -9,7 +9,7 @@
  * @param onDone - told how many are done, for a display
  * @param threads - at most
  */
-export const playAll = async (items: WorkItem[], onDone: (done: number, all: number) => void, threads = availableParallelism()): Promise<WorkResult[]> => {
+export const runAll = async (items: WorkItem[], onDone: (done: number, all: number) => void, threads = availableParallelism()): Promise<WorkResult[]> => {
   const pool = new Tinypool({ filename: new URL('./worker.js', import.meta.url).href, maxThreads: threads, minThreads: 1 })
   let done = 0
   try {
--- a/packages/lab/src/runScenario.ts
+++ b/packages/lab/src/runScenario.ts
@@ -1,11 +1,11 @@
 import { rendezvousScore } from '@hazellift/common'
 import type { LeasedJobEnd, LeasedJobSpec } from '@hazellift/coordination'
 import type { Policy } from '@hazellift/decisions'
-import { inTimeBySecond, toFigures } from './figures.js'
+import { inTimeBySecond, computeFigures } from './figures.js'
 import type { CallerEnd, Figures, Outcome } from './figures.js'
 import { LabWorld, zoneName } from './labWorld.js'
 import type { EntrySlot } from './labWorld.js'
-import { playTroubles } from './playTroubles.js'
+import { scheduleTroubles } from './scheduleTroubles.js'
 import type { Scenario } from './scenario.js'
 import { drawTraffic } from './traffic.js'
 import type { Arrival } from './traffic.js'
@@ -14,23 +14,23 @@
 export interface LabRun {
   figures: Figures
   /** Share in time by second of arrival; null where none was asked for. */
-  seconds: Array<number | null>
+  inTimeBySecond: Array<number | null>
   violations: string[]
 }
 
 /** Sessions stand, and endpoints are known. */
 const WARM_UP_MS = 2000
 /** After the traffic, until its last answers. */
-const FINISH_MS = 12_000
+const COOL_DOWN_MS = 12_000
 /** Way between caller and entry, in ms. */
-const CLIENT_MS = 1
+const CLIENT_DELAY_MS = 1
 /** A caller whose connection breaks sends again, elsewhere. */
-const RESEND_MS = 1300
+const RESEND_DELAY_MS = 1300
 /** Headers of a request and of its answer, with TCP and IP. */
 const REQUEST_BYTES = 400
 const ANSWER_BYTES = 250
 /** Processor time of a request at its entry. */
-const REQUEST_COST_MS = 0.4
+const REQUEST_CPU_MS = 0.4
 
 const specOf = ({ job, patienceMs }: Arrival, { objective }: Scenario, deadlineMs: number): LeasedJobSpec => ({
   workspace: 'w',
@@ -40,7 +40,7 @@
   payload: 'p'.repeat(job.kind.payloadBytes),
   count: job.tasks.length,
   need: job.tasks[0]!.need,
-  estimateMs: job.guessMs,
+  estimateMs: job.estimateMs,
   kind: job.kind.name,
   priority: job.kind.priority,
   attempts: job.kind.attempts,
@@ -50,74 +50,74 @@
 
 /** One caller: sends, waits, sends again if the connection breaks, and leaves when its time is over. */
 class Caller {
-  private tries = 0
-  private isOver = false
+  private sendCount = 0
+  private hasEnded = false
 
   constructor (
     private readonly world: LabWorld,
     private readonly arrival: Arrival,
     private readonly startedAt: number,
-    private readonly onOver: (outcome: Outcome) => void
+    private readonly onEnded: (outcome: Outcome) => void
   ) {}
 
   send (): void {
     const { world, arrival } = this
-    const entry = this.pickEntry()
-    const leftMs = this.startedAt + arrival.patienceMs - world.clock.now()
-    if (this.isOver) return
-    if (leftMs <= 0) return this.over('left')
-    if (entry === undefined) return this.again()
-    this.tries++
+    const entry = this.chooseEntry()
+    const remainingMs = this.startedAt + arrival.patienceMs - world.clock.now()
+    if (this.hasEnded) return
+    if (remainingMs <= 0) return this.finish('left')
+    if (entry === undefined) return this.scheduleResend()
+    this.sendCount++
     const bytes = REQUEST_BYTES + arrival.job.kind.payloadBytes
-    world.clock.after(CLIENT_MS, () => entry.process.receive(bytes, () => entry.process.work(REQUEST_COST_MS, () => this.submit(entry, leftMs))))
-    this.watch(entry, this.tries)
+    world.clock.after(CLIENT_DELAY_MS, () => entry.process.receive(bytes, () => entry.process.execute(REQUEST_CPU_MS, () => this.submit(entry, remainingMs))))
+    this.watchConnection(entry, this.sendCount)
   }
 
-  private submit (entry: EntrySlot, leftMs: number): void {
+  private submit (entry: EntrySlot, remainingMs: number): void {
     const { world, arrival } = this
-    if (this.isOver) return
-    const { end, leave } = entry.jobs.submit(specOf(arrival, world.scenario, leftMs))
-    world.clock.after(leftMs, () => {
+    if (this.hasEnded) return
+    const { end, leave } = entry.jobs.submit(specOf(arrival, world.scenario, remainingMs))
+    world.clock.after(remainingMs, () => {
       if (entry.process.isUp) entry.process.run(leave)
-      this.over('left')
+      this.finish('left')
     })
     void end.then((value) => {
       if (!entry.process.isUp) return
-      entry.process.work(REQUEST_COST_MS / 2, () => world.clock.after(entry.process.send(ANSWER_BYTES) + CLIENT_MS, () => this.onAnswer(value)))
+      entry.process.execute(REQUEST_CPU_MS / 2, () => world.clock.after(entry.process.send(ANSWER_BYTES) + CLIENT_DELAY_MS, () => this.onAnswer(value)))
     })
   }
 
   /** A process that dies breaks the connection. */
-  private watch (entry: EntrySlot, at: number): void {
-    if (this.isOver || this.tries !== at) return
-    if (!entry.process.isUp) return this.again()
-    this.world.clock.after(20, () => this.watch(entry, at))
+  private watchConnection (entry: EntrySlot, sendNumber: number): void {
+    if (this.hasEnded || this.sendCount !== sendNumber) return
+    if (!entry.process.isUp) return this.scheduleResend()
+    this.world.clock.after(20, () => this.watchConnection(entry, sendNumber))
   }
 
-  private again (): void {
-    this.world.clock.after(RESEND_MS, () => this.send())
+  private scheduleResend (): void {
+    this.world.clock.after(RESEND_DELAY_MS, () => this.send())
   }
 
   /** By zone at first; another one each time after. */
-  private pickEntry (): EntrySlot | undefined {
+  private chooseEntry (): EntrySlot | undefined {
     const up = this.world.entries.filter(({ process }) => process.isUp)
-    const near = up.filter(({ zone }) => zone === zoneName(this.arrival.zone))
-    const list = near.length > 0 && this.tries === 0 ? near : up
+    const sameZone = up.filter(({ zone }) => zone === zoneName(this.arrival.zone))
+    const candidates = sameZone.length > 0 && this.sendCount === 0 ? sameZone : up
     const { zone, client } = this.arrival
-    if (client !== undefined) return list[rendezvousScore(`${zone}.${client}`, String(this.tries)) % Math.max(1, list.length)]
-    return list[(Math.floor(this.arrival.at) + this.tries) % Math.max(1, list.length)]
+    if (client !== undefined) return candidates[rendezvousScore(`${zone}.${client}`, String(this.sendCount)) % Math.max(1, candidates.length)]
+    return candidates[(Math.floor(this.arrival.at) + this.sendCount) % Math.max(1, candidates.length)]
   }
 
   private onAnswer (end: LeasedJobEnd): void {
     if (end.type === 'failed' && end.reason === 'caller_gone') return
-    this.over(end.type)
+    this.finish(end.type)
   }
 
-  private over (end: CallerEnd): void {
-    if (this.isOver) return
-    this.isOver = true
-    const roomWasFree = end === 'refused' && this.world.hasRoomFor(this.arrival.job.tasks[0]!.need)
-    this.onOver({ arrival: this.arrival, end, ms: this.world.clock.now() - this.startedAt, roomWasFree })
+  private finish (end: CallerEnd): void {
+    if (this.hasEnded) return
+    this.hasEnded = true
+    const hadFreeCapacity = end === 'refused' && this.world.hasFreeCapacityFor(this.arrival.job.tasks[0]!.need)
+    this.onEnded({ arrival: this.arrival, end, responseMs: this.world.clock.now() - this.startedAt, hadFreeCapacity: hadFreeCapacity })
   }
 }
 
@@ -132,12 +132,12 @@
   const world = new LabWorld(scenario, seed, policy)
   const outcomes: Outcome[] = []
   for (const arrival of drawTraffic(scenario, seed)) {
-    world.know(arrival.job)
+    world.addJob(arrival.job)
     const at = WARM_UP_MS + arrival.at
     world.clock.after(at, () => new Caller(world, arrival, at, (outcome) => outcomes.push(outcome)).send())
   }
-  playTroubles(world, WARM_UP_MS)
-  await world.clock.runUntil(WARM_UP_MS + scenario.seconds * 1000 + FINISH_MS)
-  world.countUp()
-  return { figures: toFigures(outcomes, world.counts), seconds: inTimeBySecond(outcomes, scenario.seconds), violations: world.counts.violations }
+  scheduleTroubles(world, WARM_UP_MS)
+  await world.clock.runUntil(WARM_UP_MS + scenario.seconds * 1000 + COOL_DOWN_MS)
+  world.collectCounts()
+  return { figures: computeFigures(outcomes, world.counts), inTimeBySecond: inTimeBySecond(outcomes, scenario.seconds), violations: world.counts.violations }
 }
--- a/packages/lab/src/scenario.ts
+++ b/packages/lab/src/scenario.ts
@@ -36,34 +36,34 @@
   payloadBytes: z.number().int().min(0).default(0)
 })
 
-const whenSchema = { at: seconds, for: seconds.default(0) }
+const periodFields = { at: seconds, for: seconds.default(0) }
 
 /** What goes wrong; `share` is a part of the endpoints, agents or entries, at least one. */
 const troubleSchema = z.discriminatedUnion('kind', [
   /** `x` times as many jobs, of one kind or all. */
-  z.strictObject({ kind: z.literal('burst'), ...whenSchema, x: z.number().min(1), of: z.string().optional() }),
+  z.strictObject({ kind: z.literal('burst'), ...periodFields, x: z.number().min(1), of: z.string().optional() }),
   /** Orders without an answer; most are carried out seconds later. */
-  z.strictObject({ kind: z.literal('lost_orders'), ...whenSchema, share }),
-  z.strictObject({ kind: z.literal('slow_endpoints'), ...whenSchema, share, x: z.number().min(1) }),
+  z.strictObject({ kind: z.literal('lost_orders'), ...periodFields, share }),
+  z.strictObject({ kind: z.literal('slow_endpoints'), ...periodFields, share, x: z.number().min(1) }),
   /** They fail all that they start. */
-  z.strictObject({ kind: z.literal('failing_endpoints'), ...whenSchema, share }),
+  z.strictObject({ kind: z.literal('failing_endpoints'), ...periodFields, share }),
   /** What they start does not end while it lasts. */
-  z.strictObject({ kind: z.literal('hanging_endpoints'), ...whenSchema, share }),
+  z.strictObject({ kind: z.literal('hanging_endpoints'), ...periodFields, share }),
   /** They crash; others come after `for`, or never if it is 0. */
-  z.strictObject({ kind: z.literal('lost_endpoints'), ...whenSchema, share }),
+  z.strictObject({ kind: z.literal('lost_endpoints'), ...periodFields, share }),
   /** They say that they leave, get nothing more, and are gone for good after `for`. */
-  z.strictObject({ kind: z.literal('leaving_endpoints'), ...whenSchema, share }),
-  z.strictObject({ kind: z.literal('frozen_agents'), ...whenSchema, share }),
-  z.strictObject({ kind: z.literal('killed_agents'), ...whenSchema, share }),
-  z.strictObject({ kind: z.literal('killed_entries'), ...whenSchema, share }),
+  z.strictObject({ kind: z.literal('leaving_endpoints'), ...periodFields, share }),
+  z.strictObject({ kind: z.literal('frozen_agents'), ...periodFields, share }),
+  z.strictObject({ kind: z.literal('killed_agents'), ...periodFields, share }),
+  z.strictObject({ kind: z.literal('killed_entries'), ...periodFields, share }),
   /** Links between entries and agents that fall silent. */
-  z.strictObject({ kind: z.literal('silent_links'), ...whenSchema, share }),
+  z.strictObject({ kind: z.literal('silent_links'), ...periodFields, share }),
   /** Callers leave after a part of their time. */
-  z.strictObject({ kind: z.literal('callers_leave'), ...whenSchema, share }),
+  z.strictObject({ kind: z.literal('callers_leave'), ...periodFields, share }),
   /** Jobs of which every task fails. */
-  z.strictObject({ kind: z.literal('hopeless_jobs'), ...whenSchema, share }),
+  z.strictObject({ kind: z.literal('hopeless_jobs'), ...periodFields, share }),
   /** The configuration changes, again after each gap; `bytes` as packed. */
-  z.strictObject({ kind: z.literal('config_changes'), ...whenSchema, gapMs: z.number().positive(), bytes: z.number().int().min(1) })
+  z.strictObject({ kind: z.literal('config_changes'), ...periodFields, gapMs: z.number().positive(), bytes: z.number().int().min(1) })
 ])
 
 const scenarioSchema = z.strictObject({
@@ -105,7 +105,7 @@
 export type Trouble = Scenario['troubles'][number]
 
 /** A scenario that cannot be used; the message names the file, the key and the reason. */
-export class BadScenario extends Error {}
+export class ScenarioError extends Error {}
 
 /**
  * Checks a scenario.
@@ -118,11 +118,11 @@
   const parsed = scenarioSchema.safeParse(value)
   if (!parsed.success) {
     const [issue] = parsed.error.issues
-    throw new BadScenario(`${source}: ${issue!.path.join('.') || 'the file'}: ${issue!.message}`)
+    throw new ScenarioError(`${source}: ${issue!.path.join('.') || 'the file'}: ${issue!.message}`)
   }
   const kinds = new Set(parsed.data.kinds.map(({ name }) => name))
-  const stray = parsed.data.troubles.find((trouble) => trouble.kind === 'burst' && trouble.of !== undefined && !kinds.has(trouble.of))
-  if (stray !== undefined) throw new BadScenario(`${source}: troubles.of: no kind of that name`)
+  const unmatched = parsed.data.troubles.find((trouble) => trouble.kind === 'burst' && trouble.of !== undefined && !kinds.has(trouble.of))
+  if (unmatched !== undefined) throw new ScenarioError(`${source}: troubles.of: no kind of that name`)
   return parsed.data
 }
 
@@ -136,7 +136,7 @@
   try {
     value = parse(readFileSync(path, 'utf8'))
   } catch (err) {
-    throw new BadScenario(`${path}: ${(err as Error).message.split('\n')[0]}`)
+    throw new ScenarioError(`${path}: ${(err as Error).message.split('\n')[0]}`)
   }
   return checkScenario(value, path)
 }
--- a/packages/lab/src/tables.ts
+++ b/packages/lab/src/tables.ts
@@ -28,7 +28,7 @@
 ]
 
 /** Markdown, to be pasted into a page. */
-const PLAIN = {
+const MARKDOWN_STYLE = {
   style: { head: [], border: [] },
   chars: { top: '', 'top-mid': '', 'top-left': '', 'top-right': '', bottom: '', 'bottom-mid': '', 'bottom-left': '', 'bottom-right': '', left: '|', 'left-mid': '', mid: '', 'mid-mid': '', right: '|', 'right-mid': '', middle: '|' }
 }
@@ -41,20 +41,20 @@
   return `${sign}${mean.toFixed(digits)}${interval}${mark}`
 }
 
-const of = (results: WorkResult[], key: keyof Figures): number[] => results.map(({ figures }) => figures[key])
+const valuesOf = (results: WorkResult[], key: keyof Figures): number[] => results.map(({ figures }) => figures[key])
 
 /** Figures of one variant, a line each. */
 export const figureTable = (results: WorkResult[]): string => {
-  const table = new Table({ ...PLAIN, head: ['figure', `mean of ${results.length} seeds`] })
-  for (const { key, digits } of COLUMNS) table.push([key, cell(estimate(of(results, key)), digits)])
+  const table = new Table({ ...MARKDOWN_STYLE, head: ['figure', `mean of ${results.length} seeds`] })
+  for (const { key, digits } of COLUMNS) table.push([key, cell(estimate(valuesOf(results, key)), digits)])
   return table.toString()
 }
 
 /** Two variants on the same seeds, and their differences; those that are no chance are marked with a star. */
-export const compareTable = (base: WorkResult[], other: WorkResult[]): string => {
-  const table = new Table({ ...PLAIN, head: ['figure', base[0]!.variant, other[0]!.variant, 'difference'] })
+export const comparisonTable = (base: WorkResult[], other: WorkResult[]): string => {
+  const table = new Table({ ...MARKDOWN_STYLE, head: ['figure', base[0]!.variant, other[0]!.variant, 'difference'] })
   for (const { key, digits } of COLUMNS) {
-    const [first, second] = [of(base, key), of(other, key)]
+    const [first, second] = [valuesOf(base, key), valuesOf(other, key)]
     table.push([key, cell(estimate(first), digits), cell(estimate(second), digits), cell(estimateDifference(first, second), digits, true)])
   }
   return table.toString()
@@ -65,10 +65,10 @@
 /** What each variant loses or gains against the first one, a line each. */
 export const ablationTable = (base: WorkResult[], others: WorkResult[][]): string => {
   const columns = COLUMNS.filter(({ key }) => ABLATION_KEYS.includes(key))
-  const table = new Table({ ...PLAIN, head: [`against ${base[0]!.variant}`, ...columns.map(({ key }) => key)] })
-  table.push([base[0]!.variant, ...columns.map(({ key, digits }) => cell(estimate(of(base, key)), digits))])
+  const table = new Table({ ...MARKDOWN_STYLE, head: [`against ${base[0]!.variant}`, ...columns.map(({ key }) => key)] })
+  table.push([base[0]!.variant, ...columns.map(({ key, digits }) => cell(estimate(valuesOf(base, key)), digits))])
   for (const other of others) {
-    table.push([other[0]!.variant, ...columns.map(({ key, digits }) => cell(estimateDifference(of(base, key), of(other, key)), digits, true))])
+    table.push([other[0]!.variant, ...columns.map(({ key, digits }) => cell(estimateDifference(valuesOf(base, key), valuesOf(other, key)), digits, true))])
   }
   return table.toString()
 }
--- a/packages/lab/src/traffic.ts
+++ b/packages/lab/src/traffic.ts
@@ -1,14 +1,14 @@
 import type { Random } from '@hazellift/common'
-import { gap, sourceOf } from './draw.js'
-import { drawJob } from './jobDraw.js'
-import type { DrawnJob } from './jobDraw.js'
+import { drawExponential, randomStream } from './draw.js'
+import { drawJob } from './drawJob.js'
+import type { SimulatedJob } from './drawJob.js'
 import type { JobKind, Scenario, Trouble } from './scenario.js'
 
 /** A job with its moment and its caller. */
 export interface Arrival {
   /** In ms from the start of the traffic. */
   at: number
-  job: DrawnJob
+  job: SimulatedJob
   zone: number
   /** The client of its zone that sends it, where clients are told apart. */
   client: number | undefined
@@ -19,31 +19,31 @@
 }
 
 /** Part of their time after which callers leave, where they do. */
-const LEAVE_SHARE = { from: 0.1, to: 0.7 }
+const LEAVE_AFTER_SHARE = { from: 0.1, to: 0.7 }
 
-const isOn = ({ at, for: length }: Trouble, second: number): boolean => second >= at && second < at + length
+const isActive = ({ at, for: length }: Trouble, second: number): boolean => second >= at && second < at + length
 
-const rateOf = ({ troubles }: Scenario, { name, perSecond }: JobKind, second: number): number =>
+const arrivalRate = ({ troubles }: Scenario, { name, perSecond }: JobKind, second: number): number =>
   troubles.reduce((rate, trouble) => {
-    const counts = trouble.kind === 'burst' && isOn(trouble, second) && (trouble.of === undefined || trouble.of === name)
-    return counts ? rate * trouble.x : rate
+    const applies = trouble.kind === 'burst' && isActive(trouble, second) && (trouble.of === undefined || trouble.of === name)
+    return applies ? rate * trouble.x : rate
   }, perSecond)
 
-const shareOf = ({ troubles }: Scenario, kind: 'callers_leave' | 'hopeless_jobs', second: number): number =>
-  troubles.reduce((most, trouble) => trouble.kind === kind && isOn(trouble, second) ? Math.max(most, trouble.share) : most, 0)
+const activeShare = ({ troubles }: Scenario, kind: 'callers_leave' | 'hopeless_jobs', second: number): number =>
+  troubles.reduce((most, trouble) => trouble.kind === kind && isActive(trouble, second) ? Math.max(most, trouble.share) : most, 0)
 
-const arrivalsOf = (scenario: Scenario, kind: JobKind, random: Random, prefix: string): Arrival[] => {
+const drawArrivals = (scenario: Scenario, kind: JobKind, random: Random, prefix: string): Arrival[] => {
   const arrivals: Arrival[] = []
   const { objective: { stretch, slackMs }, patience, zones, seconds, clientsPerZone } = scenario
   for (let at = 0; ;) {
-    at += gap(random, 1000 / rateOf(scenario, kind, at / 1000))
+    at += drawExponential(random, 1000 / arrivalRate(scenario, kind, at / 1000))
     if (at >= seconds * 1000) return arrivals
-    const isHopeless = random() < shareOf(scenario, 'hopeless_jobs', at / 1000)
+    const isHopeless = random() < activeShare(scenario, 'hopeless_jobs', at / 1000)
     const job = drawJob(random, kind, `${prefix}${arrivals.length}`, isHopeless)
-    const objectiveMs = stretch * job.longestMs + slackMs
-    const leaves = random() < shareOf(scenario, 'callers_leave', at / 1000)
-    const part = LEAVE_SHARE.from + random() * (LEAVE_SHARE.to - LEAVE_SHARE.from)
-    const patienceMs = patience * objectiveMs * (leaves ? part : 1)
+    const objectiveMs = stretch * job.longestRunMs + slackMs
+    const leaves = random() < activeShare(scenario, 'callers_leave', at / 1000)
+    const leaveAfter = LEAVE_AFTER_SHARE.from + random() * (LEAVE_AFTER_SHARE.to - LEAVE_AFTER_SHARE.from)
+    const patienceMs = patience * objectiveMs * (leaves ? leaveAfter : 1)
     const zone = Math.floor(random() * zones)
     const client = clientsPerZone === undefined ? undefined : Math.floor(random() * clientsPerZone)
     arrivals.push({ at, job, zone, client, patienceMs, objectiveMs })
@@ -56,5 +56,5 @@
  */
 export const drawTraffic = (scenario: Scenario, seed: number): Arrival[] =>
   scenario.kinds
-    .flatMap((kind, index) => arrivalsOf(scenario, kind, sourceOf(seed, index), `${index}.`))
+    .flatMap((kind, index) => drawArrivals(scenario, kind, randomStream(seed, index), `${index}.`))
     .sort((a, b) => a.at - b.at)
--- a/packages/lab/src/worker.ts
+++ b/packages/lab/src/worker.ts
@@ -1,4 +1,4 @@
-import { playBound } from './bound.js'
+import { runBound } from './bound.js'
 import type { Figures } from './figures.js'
 import { runScenario } from './runScenario.js'
 import type { Scenario } from './scenario.js'
@@ -15,15 +15,15 @@
 /** Its result. */
 export interface WorkResult extends WorkItem {
   figures: Figures
-  seconds: Array<number | null>
+  inTimeBySecond: Array<number | null>
   violations: string[]
 }
 
 /** Plays one run; the entry of a worker thread. */
-export const play = async (item: WorkItem): Promise<WorkResult> => {
+export const runWorkItem = async (item: WorkItem): Promise<WorkResult> => {
   const { scenario, seed, variant } = item
-  if (variant === 'bound') return { ...item, figures: await playBound(scenario, seed), seconds: [], violations: [] }
+  if (variant === 'bound') return { ...item, figures: await runBound(scenario, seed), inTimeBySecond: [], violations: [] }
   return { ...item, ...await runScenario(scenario, seed, VARIANTS.get(variant)!) }
 }
 
-export default play
+export default runWorkItem
--- a/packages/protocol/src/constants.ts
+++ b/packages/protocol/src/constants.ts
@@ -52,7 +52,7 @@
 export type TokenRole = typeof TOKEN_ROLES[keyof typeof TOKEN_ROLES]
 
 /** Health of an endpoint as an entry sees it. */
-export const HEALTH_STATES = { healthy: 'healthy', setAside: 'set_aside', probing: 'probing' } as const
+export const HEALTH_STATES = { healthy: 'healthy', ejected: 'set_aside', probing: 'probing' } as const
 export type HealthState = typeof HEALTH_STATES[keyof typeof HEALTH_STATES]
 
 /** Metadata that carries the cluster token between processes. */
--- a/packages/standins/src/cluster/childProcess.ts
+++ b/packages/standins/src/cluster/childProcess.ts
@@ -7,7 +7,7 @@
   name: string
   pid: number
   /** What it printed on its first line, as key=value pairs. */
-  facts: Record<string, string>
+  startupInfo: Record<string, string>
   kill: (signal: NodeJS.Signals) => void
   /** Resolves with its exit code; null if a signal ended it. */
   exited: Promise<number | null>
@@ -29,13 +29,13 @@
 const MAX_LOG_LINES = 2000
 const START_TIMEOUT_MS = 20_000
 
-const parseFacts = (line: string): Record<string, string> =>
+const parseStartupInfo = (line: string): Record<string, string> =>
   Object.fromEntries(line.split(' ').filter((pair) => pair.includes('=')).map((pair) => {
     const index = pair.indexOf('=')
     return [pair.slice(0, index), pair.slice(index + 1)]
   }))
 
-const firstLine = (child: ChildProcess, name: string, log: string[]): Promise<string> => new Promise((resolve, reject) => {
+const readFirstLine = (child: ChildProcess, name: string, log: string[]): Promise<string> => new Promise((resolve, reject) => {
   const timer = setTimeout(() => reject(new Error(`${name} did not start in time:\n${log.join('\n')}`)), START_TIMEOUT_MS)
   createInterface({ input: child.stdout! }).once('line', (line) => {
     clearTimeout(timer)
@@ -63,11 +63,11 @@
     if (log.length > MAX_LOG_LINES) log.shift()
   })
   const exited = new Promise<number | null>((resolve) => { child.once('exit', (code) => resolve(code)) })
-  const facts = parseFacts(await firstLine(child, name, log))
+  const facts = parseStartupInfo(await readFirstLine(child, name, log))
   return {
     name,
     pid: child.pid!,
-    facts,
+    startupInfo: facts,
     kill: (signal) => { child.kill(signal) },
     exited,
     isRunning: () => child.exitCode === null && child.signalCode === null,
--- a/packages/standins/src/cluster/cluster.ts
+++ b/packages/standins/src/cluster/cluster.ts
@@ -69,12 +69,12 @@
 
 const require = createRequire(import.meta.url)
 const distOf = (name: string): string => dirname(require.resolve(`@hazellift/${name}`))
-const here = dirname(fileURLToPath(import.meta.url))
+const moduleDir = dirname(fileURLToPath(import.meta.url))
 const SCRIPTS = {
   entry: join(distOf('entry'), 'main.js'),
   agent: join(distOf('agent'), 'main.js'),
-  platform: join(here, '..', 'platform', 'main.js'),
-  endpoint: join(here, '..', 'endpoint', 'main.js')
+  platform: join(moduleDir, '..', 'platform', 'main.js'),
+  endpoint: join(moduleDir, '..', 'endpoint', 'main.js')
 }
 
 /** Token of a workspace's callers in trials. */
@@ -89,7 +89,7 @@
   readonly workers: Worker[] = []
   readonly relays: ClusterRelays = { platform: undefined, sessions: [], endpoints: [] }
   platform!: Program
-  private readonly everything: Program[] = []
+  private readonly programs: Program[] = []
   private readonly recordDir = mkdtempSync(join(tmpdir(), 'hazellift-'))
 
   private constructor (private readonly options: ClusterOptions) {}
@@ -99,7 +99,7 @@
     const cluster = new Cluster(options)
     try {
       cluster.platform = await cluster.run('platform', SCRIPTS.platform, [])
-      if (options.relays) cluster.relays.platform = await startRelay(cluster.platform.facts['platform']!)
+      if (options.relays) cluster.relays.platform = await startRelay(cluster.platform.startupInfo['platform']!)
       for (let index = 0; index < options.entries; index++) cluster.entries.push(await cluster.startEntry(index))
       const indices = Array.from({ length: options.workers }, (_, index) => index)
       cluster.workers.push(...await Promise.all(indices.map((index) => cluster.startWorker(index))))
@@ -115,23 +115,23 @@
   /**
    * Starts an entry, or starts it again on its old ports.
    *
-   * @param ports - addresses of its earlier process
-   * @param via - whether it reaches the platform through the relay, if there is one
+   * @param addresses - addresses of its earlier process
+   * @param route - whether it reaches the platform through the relay, if there is one
    */
-  async startEntry (index: number, ports?: { api: string, session: string }, via: EntryRoute = { platform: 'relay' }): Promise<Program> {
+  async startEntry (index: number, addresses?: { api: string, session: string }, route: EntryRoute = { platform: 'relay' }): Promise<Program> {
     const { zones = DEFAULT_ZONES, entryArgs = [], log = 'hazellift:*' } = this.options
     const portOf = (address: string | undefined) => address?.split(':')[1] ?? '0'
     const relay = this.options.relays ? this.relays.sessions[index] ?? await startRelay() : undefined
     const advertised = relay === undefined ? [] : ['--advertise-session', relay.address]
-    const platform = via.platform === 'relay' ? this.relays.platform?.address : undefined
+    const platform = route.platform === 'relay' ? this.relays.platform?.address : undefined
     const program = await this.run(`entry-${index}`, SCRIPTS.entry, [
       'entry', '--entry-id', `entry-${index}`, '--zone', zones[index % zones.length]!,
-      '--api-port', portOf(ports?.api), '--session-port', portOf(ports?.session),
-      '--platform-url', `http://${platform ?? this.platform.facts['platform']}`,
+      '--api-port', portOf(addresses?.api), '--session-port', portOf(addresses?.session),
+      '--platform-url', `http://${platform ?? this.platform.startupInfo['platform']}`,
       '--cluster-token', CLUSTER_TOKEN, '--admin-token', ADMIN_TOKEN, '--log', log, ...advertised, ...entryArgs
     ])
     if (relay !== undefined) {
-      relay.setTarget(program.facts['session']!)
+      relay.setTarget(program.startupInfo['session']!)
       this.relays.sessions[index] = relay
     }
     return program
@@ -142,7 +142,7 @@
     const { zones = DEFAULT_ZONES, agentArgs = [], log = 'hazellift:*' } = this.options
     const running = this.entries.map((entry, entryIndex) => ({ entry, relay: this.relays.sessions[entryIndex] }))
       .filter(({ entry }) => entry.isRunning())
-    const seeds = running.map(({ entry, relay }) => relay?.address ?? entry.facts['session']!).join()
+    const seeds = running.map(({ entry, relay }) => relay?.address ?? entry.startupInfo['session']!).join()
     return this.run(`agent-${index}`, SCRIPTS.agent, [
       '--agent-id', `agent-${index}`, '--zone', zones[index % zones.length]!, '--agent-port', port,
       '--seeds', seeds, '--cluster-token', CLUSTER_TOKEN, '--log', log, ...agentArgs
@@ -155,11 +155,11 @@
     const relay = this.options.relays ? this.relays.endpoints[index] ?? await startRelay() : undefined
     const advertised = relay === undefined ? [] : ['--advertise', relay.address]
     const program = await this.run(`endpoint-${index}`, SCRIPTS.endpoint, [
-      '--id', `endpoint-${index}`, '--agent-url', `http://${agent.facts['agent']}`, '--service', service,
+      '--id', `endpoint-${index}`, '--agent-url', `http://${agent.startupInfo['agent']}`, '--service', service,
       '--slots', String(slots), '--connections', String(connections), '--record-file', this.recordFile(index), ...advertised
     ])
     if (relay !== undefined) {
-      relay.setTarget(program.facts['endpoint']!)
+      relay.setTarget(program.startupInfo['endpoint']!)
       this.relays.endpoints[index] = relay
     }
     return program
@@ -172,17 +172,17 @@
 
   /** Base URL of an entry's API. */
   apiUrl (index = 0): string {
-    return `http://${this.entries[index]!.facts['api']}`
+    return `http://${this.entries[index]!.startupInfo['api']}`
   }
 
   /** Sets faults of the platform. */
   async setPlatform (faults: Partial<PlatformFaults>): Promise<void> {
-    await this.control(this.platform.facts['platform']!, faults)
+    await this.control(this.platform.startupInfo['platform']!, faults)
   }
 
   /** Sets the behaviour of an endpoint. */
   async setEndpoint (index: number, behaviour: Partial<EndpointBehaviour>): Promise<void> {
-    await this.control(this.workers[index]!.endpoint.facts['endpoint']!, behaviour)
+    await this.control(this.workers[index]!.endpoint.startupInfo['endpoint']!, behaviour)
   }
 
   /** Keys of all tasks that any endpoint started, as often as they were; read from the endpoints' own records. */
@@ -206,28 +206,28 @@
   async waitForEndpoints (count: number): Promise<void> {
     await this.waitUntil(`${count} endpoints at every entry`, async () => {
       const running = this.entries.filter((entry) => entry.isRunning())
-      const states = await Promise.all(running.map((entry) => this.seesEndpoints(entry.facts['api']!, count)))
+      const states = await Promise.all(running.map((entry) => this.isReadyWithEndpoints(entry.startupInfo['api']!, count)))
       return states.every(Boolean)
     })
   }
 
   /** Waits for a condition, and fails with its name if it does not come. */
-  async waitUntil (what: string, isTrue: () => Promise<boolean> | boolean, timeoutMs = READY_TIMEOUT_MS): Promise<void> {
-    const until = Date.now() + timeoutMs
-    while (!await isTrue()) {
-      if (Date.now() > until) throw new Error(`waited in vain for ${what}\n${this.tailOfLogs()}`)
+  async waitUntil (description: string, condition: () => Promise<boolean> | boolean, timeoutMs = READY_TIMEOUT_MS): Promise<void> {
+    const deadline = Date.now() + timeoutMs
+    while (!await condition()) {
+      if (Date.now() > deadline) throw new Error(`waited in vain for ${description}\n${this.recentLogs()}`)
       await sleep(POLL_MS)
     }
   }
 
   /** Ends every program that this cluster started. */
   async stop (): Promise<void> {
-    for (const program of this.everything) {
+    for (const program of this.programs) {
       if (!program.isRunning()) continue
       program.kill('SIGCONT')
       program.kill('SIGKILL')
     }
-    await Promise.all(this.everything.map(({ exited }) => exited))
+    await Promise.all(this.programs.map(({ exited }) => exited))
     const { platform, sessions, endpoints } = this.relays
     for (const relay of [...sessions, ...endpoints, ...(platform === undefined ? [] : [platform])]) relay.close()
     rmSync(this.recordDir, { recursive: true, force: true })
@@ -260,7 +260,7 @@
 
   private async run (name: string, script: string, args: string[]): Promise<Program> {
     const program = await startProgram({ name, script, args })
-    this.everything.push(program)
+    this.programs.push(program)
     return program
   }
 
@@ -269,7 +269,7 @@
     await res.body.dump()
   }
 
-  private async seesEndpoints (api: string, count: number): Promise<boolean> {
+  private async isReadyWithEndpoints (api: string, count: number): Promise<boolean> {
     const ready = await request(`http://${api}/readyz`)
     await ready.body.dump()
     const res = await request(`http://${api}/v1/status`, { headers: { authorization: `Bearer ${ADMIN_TOKEN}` } })
@@ -282,7 +282,7 @@
     return join(this.recordDir, `endpoint-${index}.txt`)
   }
 
-  private tailOfLogs (): string {
-    return this.everything.map((program) => `--- ${program.name}\n${program.logLines().slice(-15).join('\n')}`).join('\n')
+  private recentLogs (): string {
+    return this.programs.map((program) => `--- ${program.name}\n${program.logLines().slice(-15).join('\n')}`).join('\n')
   }
 }
--- a/packages/standins/src/cluster/relay.ts
+++ b/packages/standins/src/cluster/relay.ts
@@ -25,28 +25,28 @@
 }
 
 /** What becomes of bytes that pass. */
-interface Passage {
+interface Traffic {
   /** Passed on so far. */
   bytes: number
   delayMs: number
   /** What the target has sent, while it is held back. */
-  held: Array<() => void> | undefined
+  heldAnswers: Array<() => void> | undefined
 }
 
-const passTo = (to: Socket, passage: Passage, isAnswer: boolean) => (chunk: Buffer): void => {
+const forwardTo = (to: Socket, traffic: Traffic, isAnswer: boolean) => (chunk: Buffer): void => {
   const write = (): void => {
-    passage.bytes += chunk.length
+    traffic.bytes += chunk.length
     to.write(chunk)
   }
-  if (isAnswer && passage.held !== undefined) passage.held.push(write)
-  else if (passage.delayMs > 0) setTimeout(write, passage.delayMs)
+  if (isAnswer && traffic.heldAnswers !== undefined) traffic.heldAnswers.push(write)
+  else if (traffic.delayMs > 0) setTimeout(write, traffic.delayMs)
   else write()
 }
 
-const healPassage = (passage: Passage): void => {
-  passage.delayMs = 0
-  for (const write of passage.held ?? []) write()
-  passage.held = undefined
+const resetTraffic = (traffic: Traffic): void => {
+  traffic.delayMs = 0
+  for (const write of traffic.heldAnswers ?? []) write()
+  traffic.heldAnswers = undefined
 }
 
 /**
@@ -56,35 +56,35 @@
  */
 export const startRelay = async (target = ''): Promise<Relay> => {
   const sockets = new Set<Socket>()
-  let to = target
-  const passage: Passage = { bytes: 0, delayMs: 0, held: undefined }
-  let severed = false
-  let frozen = false
+  let targetAddress = target
+  const traffic: Traffic = { bytes: 0, delayMs: 0, heldAnswers: undefined }
+  let isSevered = false
+  let isFrozen = false
 
-  const keep = (socket: Socket): void => {
+  const track = (socket: Socket): void => {
     sockets.add(socket)
     socket.on('error', () => socket.destroy())
     socket.on('close', () => sockets.delete(socket))
-    if (frozen) socket.pause()
+    if (isFrozen) socket.pause()
   }
 
-  const join = (from: Socket): void => {
-    const [host, port] = to.split(':')
-    const onward = connect(Number(port), host)
-    keep(from)
-    keep(onward)
-    from.on('data', passTo(onward, passage, false))
-    onward.on('data', passTo(from, passage, true))
-    from.on('close', () => onward.destroy())
-    onward.on('close', () => from.destroy())
-    if (!frozen) return
-    from.pause()
-    onward.pause()
+  const forward = (client: Socket): void => {
+    const [host, port] = targetAddress.split(':')
+    const upstream = connect(Number(port), host)
+    track(client)
+    track(upstream)
+    client.on('data', forwardTo(upstream, traffic, false))
+    upstream.on('data', forwardTo(client, traffic, true))
+    client.on('close', () => upstream.destroy())
+    upstream.on('close', () => client.destroy())
+    if (!isFrozen) return
+    client.pause()
+    upstream.pause()
   }
 
   const server = createServer((socket) => {
-    if (severed) socket.destroy()
-    else join(socket)
+    if (isSevered) socket.destroy()
+    else forward(socket)
   })
   server.listen(0, '127.0.0.1')
   await once(server, 'listening')
@@ -92,24 +92,24 @@
   const cut = (): void => { for (const socket of sockets) socket.destroy() }
   return {
     address: `127.0.0.1:${port}`,
-    setTarget: (address) => { to = address },
+    setTarget: (address) => { targetAddress = address },
     cut,
-    sever: () => { severed = true; cut() },
+    sever: () => { isSevered = true; cut() },
     refuse: () => { server.close(); cut() },
     freeze: () => {
-      frozen = true
+      isFrozen = true
       for (const socket of sockets) socket.pause()
     },
-    holdAnswers: () => { passage.held ??= [] },
-    delay: (ms) => { passage.delayMs = ms },
+    holdAnswers: () => { traffic.heldAnswers ??= [] },
+    delay: (ms) => { traffic.delayMs = ms },
     heal: () => {
       if (!server.listening) server.listen(port, '127.0.0.1')
-      severed = false
-      frozen = false
-      healPassage(passage)
+      isSevered = false
+      isFrozen = false
+      resetTraffic(traffic)
       for (const socket of sockets) socket.resume()
     },
-    bytes: () => passage.bytes,
+    bytes: () => traffic.bytes,
     close: () => {
       cut()
       server.close()
--- a/packages/standins/src/endpoint/startEndpoint.ts
+++ b/packages/standins/src/endpoint/startEndpoint.ts
@@ -89,7 +89,7 @@
     this.record(String(req.headers['idempotency-key']))
     this.running++
     this.peak = Math.max(this.peak, this.running)
-    await this.work(payload, res)
+    await this.execute(payload, res)
     this.running--
   }
 
@@ -98,9 +98,9 @@
     if (this.options.recordFile !== undefined) appendFileSync(this.options.recordFile, `${key}\n`)
   }
 
-  private async work ({ ms = 0, value = '', fail = false, bytes = 0 }: TaskPayload, res: ServerResponse): Promise<void> {
+  private async execute ({ ms = 0, value = '', fail = false, bytes = 0 }: TaskPayload, res: ServerResponse): Promise<void> {
     const { mode, slowness } = this.behaviour
-    const aborted = once(res, 'close')
+    const closed = once(res, 'close')
     switch (mode) {
       case ENDPOINT_MODES.fail:
         res.writeHead(500).end('this endpoint fails everything')
@@ -109,17 +109,17 @@
         res.destroy()
         return
       case ENDPOINT_MODES.hang:
-        await aborted
+        await closed
         return
       case ENDPOINT_MODES.ok:
-        await Promise.race([sleep(ms * slowness), aborted])
+        await Promise.race([sleep(ms * slowness), closed])
         if (fail) res.writeHead(500).end('the task asked to fail')
         else res.writeHead(200).end(JSON.stringify({ value, by: this.options.id, fill: 'x'.repeat(bytes) }))
     }
   }
 }
 
-const announceLoop = (options: EndpointOptions, address: string, endpoint: Endpoint): (() => Promise<void>) => {
+const startAnnouncing = (options: EndpointOptions, address: string, endpoint: Endpoint): (() => Promise<void>) => {
   const controller = new AbortController()
   const body = JSON.stringify({
     service: options.service, address: `http://${address}`, slots: options.slots, connections: options.connections
@@ -162,7 +162,7 @@
   server.listen(0, options.host)
   await once(server, 'listening')
   const address = `${options.host}:${(server.address() as AddressInfo).port}`
-  const withdraw = announceLoop(options, options.advertise ?? address, endpoint)
+  const withdraw = startAnnouncing(options, options.advertise ?? address, endpoint)
   return {
     server,
     address,
--- a/packages/standins/src/measure/centralQueue.ts
+++ b/packages/standins/src/measure/centralQueue.ts
@@ -1,7 +1,7 @@
 import type { LoadJob } from './types.js'
 
 /** Index of the smallest number. */
-const indexOfLeast = (numbers: Float64Array): number => {
+const indexOfMin = (numbers: Float64Array): number => {
   let best = 0
   for (let index = 1; index < numbers.length; index++) if (numbers[index]! < numbers[best]!) best = index
   return best
@@ -20,7 +20,7 @@
   return new Map(jobs.map(({ id, atMs, taskMs }) => {
     let endMs = atMs
     for (const ms of taskMs) {
-      const slot = indexOfLeast(freeAt)
+      const slot = indexOfMin(freeAt)
       freeAt[slot] = Math.max(atMs, freeAt[slot]!) + ms
       endMs = Math.max(endMs, freeAt[slot]!)
     }
--- a/packages/standins/src/measure/main.ts
+++ b/packages/standins/src/measure/main.ts
@@ -27,28 +27,28 @@
   json?: string
 }
 
-const number = (text: string): number => {
+const parseNumber = (text: string): number => {
   const value = Number(text)
   if (!Number.isFinite(value)) throw new InvalidArgumentError('must be a number')
   return value
 }
-const numbers = (text: string): number[] => text.split(',').map(number)
-const words = (text: string): string[] => text.split(',')
-const args = (text: string): string[] => text.split(' ').filter((word) => word !== '')
+const parseNumbers = (text: string): number[] => text.split(',').map(parseNumber)
+const parseNames = (text: string): string[] => text.split(',')
+const parseArgs = (text: string): string[] => text.split(' ').filter((word) => word !== '')
 
 const flags = new Command('measure')
   .description('Starts a deployment on loopback, loads it and prints response times and messages.')
-  .option('--seed <n>', 'seed of the load', number, 1)
-  .option('--loads <shares>', 'shares of the slots kept busy', numbers, [0.5, 0.8, 0.95])
-  .option('--rules <names>', 'dispatch rules', words, ['credits', 'random', 'two_choices'])
-  .option('--seconds <n>', 'length of each load', number, 10)
-  .option('--entries <n>', 'entries', number, 3)
-  .option('--workers <n>', 'agents with endpoints', number, 11)
-  .option('--slots <n>', 'slots of an endpoint', number, 8)
-  .option('--connections <n>', 'connections of an endpoint', number, 64)
-  .option('--workspaces <n>', 'workspaces that share the load', number, 4)
-  .option('--burst <jobs>', 'jobs of 100 tasks that one more workspace sends together, every 3 s', number, 0)
-  .option('--max-tasks <n>', 'largest job', number, 300)
+  .option('--seed <n>', 'seed of the load', parseNumber, 1)
+  .option('--loads <shares>', 'shares of the slots kept busy', parseNumbers, [0.5, 0.8, 0.95])
+  .option('--rules <names>', 'dispatch rules', parseNames, ['credits', 'random', 'two_choices'])
+  .option('--seconds <n>', 'length of each load', parseNumber, 10)
+  .option('--entries <n>', 'entries', parseNumber, 3)
+  .option('--workers <n>', 'agents with endpoints', parseNumber, 11)
+  .option('--slots <n>', 'slots of an endpoint', parseNumber, 8)
+  .option('--connections <n>', 'connections of an endpoint', parseNumber, 64)
+  .option('--workspaces <n>', 'workspaces that share the load', parseNumber, 4)
+  .option('--burst <jobs>', 'jobs of 100 tasks that one more workspace sends together, every 3 s', parseNumber, 0)
+  .option('--max-tasks <n>', 'largest job', parseNumber, 300)
   .addOption(new Option('--neighbour <name>', 'what one more workspace does to the others').choices(Object.values(NEIGHBOURS)).default(NEIGHBOURS.none))
   .addOption(new Option('--fault <name>', 'caused a third into the load').choices(Object.values(TRIAL_FAULTS)).default(TRIAL_FAULTS.none))
   .option('--entry-args <flags>', 'further flags of entries', '')
@@ -60,7 +60,7 @@
 for (const share of flags.loads) {
   for (const rule of flags.rules) {
     reports.push(await runTrial({
-      ...flags, rule, share, slotsPerWorker: flags.slots, entryArgs: args(flags.entryArgs), agentArgs: args(flags.agentArgs)
+      ...flags, rule, share, slotsPerWorker: flags.slots, entryArgs: parseArgs(flags.entryArgs), agentArgs: parseArgs(flags.agentArgs)
     }))
   }
 }
--- a/packages/standins/src/measure/neighbours.ts
+++ b/packages/standins/src/measure/neighbours.ts
@@ -2,7 +2,7 @@
 import type { LoadJob, LoadOptions } from './types.js'
 
 /** The workspace that a trial sets against the others. */
-export const NEIGHBOUR = 'neighbour'
+export const NEIGHBOUR_WORKSPACE = 'neighbour'
 
 /** What that workspace does to the others. */
 export const NEIGHBOURS = {
@@ -20,20 +20,20 @@
 } as const
 export type Neighbour = typeof NEIGHBOURS[keyof typeof NEIGHBOURS]
 
-const PER_SECOND = 200
+const JOBS_PER_SECOND = 200
 const TASK_MS = 100
-const TASKS = 4
-const FAILING_PER_SECOND = 10
+const TASKS_PER_JOB = 4
+const FAILING_JOBS_PER_SECOND = 10
 
-const LIST = JSON.stringify(Array.from({ length: 16 }, (_, index) => index))
-const LONG_BODY = Array.from({ length: 8 }, () => 'x * 2 + 1 > 0').join(' && ')
-const COSTLY_NUMBER = `${LIST}.filter(x, ${LONG_BODY}).size() - 16`
+const LIST_LITERAL = JSON.stringify(Array.from({ length: 16 }, (_, index) => index))
+const LONG_CONDITION = Array.from({ length: 8 }, () => 'x * 2 + 1 > 0').join(' && ')
+const COSTLY_NUMBER = `${LIST_LITERAL}.filter(x, ${LONG_CONDITION}).size() - 16`
 
 const POLICIES: Partial<Record<Neighbour, Record<string, string>>> = {
   [NEIGHBOURS.throwingPolicy]: { admit: 'job.labels["absent"] == "x"' },
   [NEIGHBOURS.costlyPolicy]: {
-    admit: `!${LIST}.all(x, ${LONG_BODY})`,
-    reason: `string(${LIST}.map(x, x * 2 + 1).size())`,
+    admit: `!${LIST_LITERAL}.all(x, ${LONG_CONDITION})`,
+    reason: `string(${LIST_LITERAL}.map(x, x * 2 + 1).size())`,
     priority: COSTLY_NUMBER,
     running: COSTLY_NUMBER,
     queued: COSTLY_NUMBER,
@@ -43,17 +43,17 @@
 }
 
 /** Jobs of the neighbour, evenly spaced and spread over the entries. */
-export const drawNeighbour = ({ neighbour, seconds, entries }: LoadOptions): LoadJob[] => {
+export const createNeighbourJobs = ({ neighbour, seconds, entries }: LoadOptions): LoadJob[] => {
   if (neighbour === NEIGHBOURS.none) return []
-  const perSecond = neighbour === NEIGHBOURS.failing ? FAILING_PER_SECOND : PER_SECOND
+  const perSecond = neighbour === NEIGHBOURS.failing ? FAILING_JOBS_PER_SECOND : JOBS_PER_SECOND
   return Array.from({ length: Math.floor(seconds * perSecond) }, (_, n) => ({
     id: `neighbour-${n}`,
-    workspace: NEIGHBOUR,
+    workspace: NEIGHBOUR_WORKSPACE,
     service: neighbour === NEIGHBOURS.hopeless ? 'nobody-offers-this' : undefined,
     fails: neighbour === NEIGHBOURS.failing,
     atMs: n * 1000 / perSecond,
-    taskMs: Array<number>(TASKS).fill(TASK_MS),
-    declaredMs: Array<number>(TASKS).fill(TASK_MS),
+    taskMs: Array<number>(TASKS_PER_JOB).fill(TASK_MS),
+    declaredMs: Array<number>(TASKS_PER_JOB).fill(TASK_MS),
     unrepeatable: false,
     entry: n % entries
   }))
@@ -62,5 +62,5 @@
 /** Gives the neighbour its policy, if it has one of its own. */
 export const putNeighbourPolicy = async (cluster: Cluster, neighbour: Neighbour): Promise<void> => {
   const policy = POLICIES[neighbour]
-  if (policy !== undefined) await cluster.putPolicy(NEIGHBOUR, policy)
+  if (policy !== undefined) await cluster.putPolicy(NEIGHBOUR_WORKSPACE, policy)
 }
--- a/packages/standins/src/measure/report.ts
+++ b/packages/standins/src/measure/report.ts
@@ -1,15 +1,15 @@
 import Table from 'cli-table3'
 import { build } from 'hdr-histogram-js'
 import { centralQueueMs } from './centralQueue.js'
-import { NEIGHBOUR } from './neighbours.js'
-import { byLabel, growth, total } from './scrape.js'
+import { NEIGHBOUR_WORKSPACE } from './neighbours.js'
+import { sumByLabel, increase, total } from './scrape.js'
 import type { Scrape } from './scrape.js'
 import type { JobOutcome, Quantiles, TrialReport } from './types.js'
 
 /** Ratios are kept with three digits after the point. */
 const RATIO_SCALE = 1000
 /** Workspaces that a trial sets against the others. */
-const APART: ReadonlySet<string> = new Set(['bursty', NEIGHBOUR])
+const DISRUPTIVE_WORKSPACES: ReadonlySet<string> = new Set(['bursty', NEIGHBOUR_WORKSPACE])
 const KEEP_ALIVE = 'keep_alive'
 
 /** What is counted before and after a load. */
@@ -51,39 +51,39 @@
 const responseReport = (outcomes: JobOutcome[], slots: number) => {
   const queue = centralQueueMs(outcomes.map(({ job }) => job), slots)
   const complete = outcomes.filter(({ outcome }) => outcome === 'complete')
-  const quiet = complete.filter(({ job }) => !APART.has(job.workspace))
+  const undisturbed = complete.filter(({ job }) => !DISRUPTIVE_WORKSPACES.has(job.workspace))
   return {
     overIdeal: quantilesOf(complete.map(({ job, responseMs }) => responseMs / Math.max(...job.taskMs))),
     overQueue: quantilesOf(complete.map(({ job, responseMs }) => responseMs / queue.get(job.id)!)),
     responseMs: quantilesOf(complete.map(({ responseMs }) => responseMs)),
-    quietResponseMs: quantilesOf(quiet.map(({ responseMs }) => responseMs)),
+    quietResponseMs: quantilesOf(undisturbed.map(({ responseMs }) => responseMs)),
     queueMs: quantilesOf(complete.map(({ job }) => queue.get(job.id)!))
   }
 }
 
 /** What a trial was. */
-export type TrialFacts = Pick<TrialReport, 'rule' | 'share' | 'fault'>
+export type TrialIdentity = Pick<TrialReport, 'rule' | 'share' | 'fault'>
 
 /**
  * Puts together what a trial measured.
  *
- * @param facts - which trial
+ * @param identity - which trial
  * @param outcomes - of all jobs
  * @param before - counts before the load
  * @param after - counts after it
  * @param seconds - time between both
  * @param slots - of all endpoints together
  */
-export const createReport = (facts: TrialFacts, outcomes: JobOutcome[], before: Counts, after: Counts, seconds: number, slots: number): TrialReport => {
+export const createReport = (identity: TrialIdentity, outcomes: JobOutcome[], before: Counts, after: Counts, seconds: number, slots: number): TrialReport => {
   const tasks = outcomes.reduce((sum, { job }) => sum + job.taskMs.length, 0)
-  const kindsOf = ({ entries }: Counts) => byLabel(entries, 'hazellift_messages_total', 'kind')
-  const kinds = growth(kindsOf(before), kindsOf(after))
-  const reasonsOf = ({ entries }: Counts) => byLabel(entries, 'hazellift_wasted_starts_total', 'reason')
-  const reasons = growth(reasonsOf(before), reasonsOf(after))
+  const kindsOf = ({ entries }: Counts) => sumByLabel(entries, 'hazellift_messages_total', 'kind')
+  const kinds = increase(kindsOf(before), kindsOf(after))
+  const reasonsOf = ({ entries }: Counts) => sumByLabel(entries, 'hazellift_wasted_starts_total', 'reason')
+  const reasons = increase(reasonsOf(before), reasonsOf(after))
   const messages = Object.entries(kinds).reduce((sum, [kind, count]) => sum + (kind === KEEP_ALIVE ? 0 : count), 0)
   const perThousand = (ms: number) => ms / tasks * 1000
   return {
-    ...facts,
+    ...identity,
     seconds,
     jobs: outcomes.length,
     tasks,
@@ -101,29 +101,29 @@
   }
 }
 
-const round = (value: number, digits = 3): string => value.toFixed(digits)
+const formatNumber = (value: number, digits = 3): string => value.toFixed(digits)
 
-const quantileCells = ({ p50, p95, p99 }: Quantiles, digits: number): string =>
-  [p50, p95, p99].map((value) => round(value, digits)).join(' / ')
+const formatQuantiles = ({ p50, p95, p99 }: Quantiles, digits: number): string =>
+  [p50, p95, p99].map((value) => formatNumber(value, digits)).join(' / ')
 
-const listOf = (counts: Record<string, number>): string =>
+const formatCounts = (counts: Record<string, number>): string =>
   Object.entries(counts).map(([key, count]) => `${key} ${count}`).join(', ')
 
 /** Prints the reports as tables. */
 export const printReports = (reports: TrialReport[]): void => {
   const times = new Table({ head: ['load', 'rule', 'jobs', 'tasks', 'over ideal p50/p95/p99', 'over queue p50/p95/p99', 'ms p50/p95/p99', 'queue ms', 'msg/task', 'wasted'], style: { head: [], border: [] } })
   for (const r of reports) {
-    times.push([round(r.share, 2), r.rule, r.jobs, r.tasks, quantileCells(r.overIdeal, 2), quantileCells(r.overQueue, 3),
-      quantileCells(r.responseMs, 0), quantileCells(r.queueMs, 0), round(r.messagesPerTask), `${round(r.wastedShare * 100, 2)}%`])
+    times.push([formatNumber(r.share, 2), r.rule, r.jobs, r.tasks, formatQuantiles(r.overIdeal, 2), formatQuantiles(r.overQueue, 3),
+      formatQuantiles(r.responseMs, 0), formatQuantiles(r.queueMs, 0), formatNumber(r.messagesPerTask), `${formatNumber(r.wastedShare * 100, 2)}%`])
   }
   const costs = new Table({ head: ['load', 'rule', 'entry cpu ms/1000', 'agent cpu ms/1000', 'MB entry/agent', 'reads/s', 'writes/s', 'rows/s', 'quiet ms p50/p95/p99'], style: { head: [], border: [] } })
   for (const r of reports) {
-    costs.push([round(r.share, 2), r.rule, round(r.cpuMsPerThousand['entry']!, 0), round(r.cpuMsPerThousand['agent']!, 0),
-      `${round(r.memoryMb['entry']!, 0)} / ${round(r.memoryMb['agent']!, 0)}`, round(r.storeReadsPerSecond, 0), round(r.storeWritesPerSecond, 0),
-      round(r.rowsPerSecond, 0), quantileCells(r.quietResponseMs, 0)])
+    costs.push([formatNumber(r.share, 2), r.rule, formatNumber(r.cpuMsPerThousand['entry']!, 0), formatNumber(r.cpuMsPerThousand['agent']!, 0),
+      `${formatNumber(r.memoryMb['entry']!, 0)} / ${formatNumber(r.memoryMb['agent']!, 0)}`, formatNumber(r.storeReadsPerSecond, 0), formatNumber(r.storeWritesPerSecond, 0),
+      formatNumber(r.rowsPerSecond, 0), formatQuantiles(r.quietResponseMs, 0)])
   }
   process.stdout.write(`${times.toString()}\n${costs.toString()}\n`)
   for (const r of reports) {
-    process.stdout.write(`${round(r.share, 2)} ${r.rule} ${r.fault}: ${listOf(r.outcomes)}; messages: ${listOf(r.messagesByKind)}; wasted starts: ${listOf(r.wastedByReason) || 'none'}\n`)
+    process.stdout.write(`${formatNumber(r.share, 2)} ${r.rule} ${r.fault}: ${formatCounts(r.outcomes)}; messages: ${formatCounts(r.messagesByKind)}; wasted starts: ${formatCounts(r.wastedByReason) || 'none'}\n`)
   }
 }
--- a/packages/standins/src/measure/runTrial.ts
+++ b/packages/standins/src/measure/runTrial.ts
@@ -2,7 +2,7 @@
 import { request } from 'undici'
 import { Cluster } from '../cluster/cluster.js'
 import { createLoad } from './createLoad.js'
-import { NEIGHBOUR, NEIGHBOURS, putNeighbourPolicy } from './neighbours.js'
+import { NEIGHBOUR_WORKSPACE, NEIGHBOURS, putNeighbourPolicy } from './neighbours.js'
 import { createReport } from './report.js'
 import type { Counts } from './report.js'
 import { scrape } from './scrape.js'
@@ -27,19 +27,19 @@
 const OUTAGE_MS = 3000
 const STRAGGLER_SLOWNESS = 5
 
-const countAll = async (cluster: Cluster): Promise<Counts> => {
-  const res = await request(`http://${cluster.platform.facts['platform']}/counts`)
+const collectCounts = async (cluster: Cluster): Promise<Counts> => {
+  const res = await request(`http://${cluster.platform.startupInfo['platform']}/counts`)
   const running = cluster.entries.filter((entry) => entry.isRunning())
   const workers = cluster.workers.filter(({ agent }) => agent.isRunning())
   return {
-    entries: await Promise.all(running.map(({ facts }) => scrape(facts['api']!))),
-    agents: await Promise.all(workers.map(({ agent }) => scrape(agent.facts['agent']!))),
+    entries: await Promise.all(running.map(({ startupInfo: facts }) => scrape(facts['api']!))),
+    agents: await Promise.all(workers.map(({ agent }) => scrape(agent.startupInfo['agent']!))),
     store: await res.body.json() as Counts['store']
   }
 }
 
 /** Causes the trial's fault a third into the load. */
-const causeFault = async (cluster: Cluster, fault: TrialFault, seconds: number): Promise<void> => {
+const injectFault = async (cluster: Cluster, fault: TrialFault, seconds: number): Promise<void> => {
   await sleep(seconds * 1000 / 3)
   switch (fault) {
     case TRIAL_FAULTS.none: return
@@ -56,7 +56,7 @@
   }
 }
 
-const clusterOf = (options: TrialOptions): Promise<Cluster> => Cluster.start({
+const startCluster = (options: TrialOptions): Promise<Cluster> => Cluster.start({
   entries: options.entries,
   workers: options.workers,
   slots: options.slotsPerWorker,
@@ -64,7 +64,7 @@
   log: '',
   entryArgs: ['--dispatch-rule', options.rule, ...options.entryArgs],
   agentArgs: [...(options.rule === 'credits' ? [] : BASELINE_AGENT_ARGS), ...options.agentArgs],
-  workspaces: [...Array.from({ length: options.workspaces }, (_, n) => ({ name: `workspace-${n}` })), { name: 'bursty' }, { name: NEIGHBOUR }]
+  workspaces: [...Array.from({ length: options.workspaces }, (_, n) => ({ name: `workspace-${n}` })), { name: 'bursty' }, { name: NEIGHBOUR_WORKSPACE }]
 })
 
 /**
@@ -75,23 +75,23 @@
  */
 export const runTrial = async (options: TrialOptions): Promise<TrialReport> => {
   const slots = options.workers * options.slotsPerWorker
-  const cluster = await clusterOf(options)
+  const cluster = await startCluster(options)
   try {
     const load = createLoad({ ...options, slots })
     const warmUp = createLoad({ ...options, ...WARM_UP, slots, burst: 0, neighbour: NEIGHBOURS.none }).map((job) => ({ ...job, id: `warm-up-${job.id}` }))
     await sendLoad(warmUp, (entry) => cluster.apiUrl(entry))
     await putNeighbourPolicy(cluster, options.neighbour)
-    const before = await countAll(cluster)
+    const before = await collectCounts(cluster)
     const startedAt = performance.now()
     const [outcomes] = await Promise.all([
       sendLoad(load, (entry) => cluster.apiUrl(entry)),
-      causeFault(cluster, options.fault, options.seconds)
+      injectFault(cluster, options.fault, options.seconds)
     ])
     const seconds = (performance.now() - startedAt) / 1000
     const { rule, share, fault } = options
-    const twice = cluster.startedTwice()
-    if (twice.length > 0) throw new Error(`tasks that started twice: ${twice.slice(0, 5).join(', ')}`)
-    return createReport({ rule, share, fault }, outcomes, before, await countAll(cluster), seconds, slots)
+    const duplicates = cluster.startedTwice()
+    if (duplicates.length > 0) throw new Error(`tasks that started twice: ${duplicates.slice(0, 5).join(', ')}`)
+    return createReport({ rule, share, fault }, outcomes, before, await collectCounts(cluster), seconds, slots)
   } finally {
     await cluster.stop()
   }
--- a/packages/standins/src/measure/scrape.ts
+++ b/packages/standins/src/measure/scrape.ts
@@ -6,13 +6,13 @@
 /** All metrics of a program, by name. */
 export type Scrape = Map<string, Samples>
 
-const LINE = /^([a-z_:][\w:]*)(?:\{(.*)\})? (\S+)$/i
+const SAMPLE_LINE = /^([a-z_:][\w:]*)(?:\{(.*)\})? (\S+)$/i
 
 /** Reads Prometheus' text format. */
 export const parseMetrics = (text: string): Scrape => {
   const scrape: Scrape = new Map()
   for (const line of text.split('\n')) {
-    const match = LINE.exec(line)
+    const match = SAMPLE_LINE.exec(line)
     if (match === null) continue
     const [, name, labels = '', value] = match as unknown as [string, string, string | undefined, string]
     const samples = scrape.get(name) ?? new Map<string, number>()
@@ -37,7 +37,7 @@
   [...(metrics.get(name) ?? new Map<string, number>()).values()].reduce((sum, value) => sum + value, 0)
 
 /** Sums of a metric over several programs, by the value of one label. */
-export const byLabel = (scrapes: Scrape[], name: string, label: string): Record<string, number> => {
+export const sumByLabel = (scrapes: Scrape[], name: string, label: string): Record<string, number> => {
   const sums: Record<string, number> = {}
   for (const metrics of scrapes) {
     for (const [labels, value] of metrics.get(name) ?? []) {
@@ -49,5 +49,5 @@
 }
 
 /** What grew from one set of sums to a later one. */
-export const growth = (before: Record<string, number>, after: Record<string, number>): Record<string, number> =>
+export const increase = (before: Record<string, number>, after: Record<string, number>): Record<string, number> =>
   Object.fromEntries(Object.entries(after).map(([key, value]) => [key, value - (before[key] ?? 0)]).filter(([, value]) => value !== 0))
