--- a/packages/standins/src/measure/slopes.ts
+++ b/packages/standins/src/measure/slopes.ts
@@ -11,7 +11,7 @@
 import type { LoadJob } from './types.js'
 
 /** What a deployment spent over a while. */
-interface Spending {
+interface ResourceUsage {
   name: string
   tasksPerSecond: number
   entryCoreShare: number
@@ -20,7 +20,7 @@
   agentMb: number
   framesPerSecond: number
   /** On all connections to the entries' session ports, by agent; 0 without relays. */
-  bytesPerSecondAnAgent: number
+  bytesPerSecondPerAgent: number
   readsPerSecond: number
   writesPerSecond: number
 }
@@ -34,19 +34,19 @@
 }
 
 /** What runs while the spending is measured. */
-type Work = (cluster: Cluster) => Promise<number>
+type Workload = (cluster: Cluster) => Promise<number>
 
 const IDLE_MS = 8000
 const TASKS_PER_JOB = 100
-const JOBS_AT_ONCE = 24
+const CONCURRENT_JOBS = 24
 const TASK_MS = 20
 const BUSY_MS = 6000
 
 const snapshot = async (cluster: Cluster): Promise<Snapshot> => {
-  const res = await request(`http://${cluster.platform.facts['platform']}/counts`)
+  const res = await request(`http://${cluster.platform.startupInfo['platform']}/counts`)
   const { reads, writes } = await res.body.json() as { reads: number, writes: number }
-  const entries = await Promise.all(cluster.entries.map(({ facts }) => scrape(facts['api']!)))
-  const agents = await Promise.all(cluster.workers.map(({ agent }) => scrape(agent.facts['agent']!)))
+  const entries = await Promise.all(cluster.entries.map(({ startupInfo: facts }) => scrape(facts['api']!)))
+  const agents = await Promise.all(cluster.workers.map(({ agent }) => scrape(agent.startupInfo['agent']!)))
   const bytes = cluster.relays.sessions.reduce((sum, relay) => sum + relay.bytes(), 0)
   return { entries, agents, reads, writes, bytes }
 }
@@ -54,13 +54,13 @@
 const mean = (scrapes: Scrape[], metric: string): number =>
   scrapes.reduce((sum, each) => sum + total(each, metric), 0) / scrapes.length
 
-const idle: Work = async () => {
+const idle: Workload = async () => {
   await sleep(IDLE_MS)
   return 0
 }
 
-const jobOf = (round: number, lane: number, entry: number): LoadJob => ({
-  id: `slope-${round}-${lane}`,
+const createJob = (round: number, sender: number, entry: number): LoadJob => ({
+  id: `slope-${round}-${sender}`,
   workspace: 'workspace-0',
   atMs: 0,
   taskMs: Array<number>(TASKS_PER_JOB).fill(TASK_MS),
@@ -70,39 +70,39 @@
 })
 
 /** Keeps as many jobs open as it takes to fill the slots; gives the tasks done. */
-const saturate: Work = async (cluster) => {
-  const until = Date.now() + BUSY_MS
+const saturate: Workload = async (cluster) => {
+  const endsAt = Date.now() + BUSY_MS
   let tasks = 0
-  const lane = async (index: number): Promise<void> => {
-    for (let round = 0; Date.now() < until; round++) {
-      const job = jobOf(round, index, index % cluster.entries.length)
+  const sendJobs = async (sender: number): Promise<void> => {
+    for (let round = 0; Date.now() < endsAt; round++) {
+      const job = createJob(round, sender, sender % cluster.entries.length)
       const [outcome] = await sendLoad([job], (entry) => cluster.apiUrl(entry))
       if (outcome?.outcome === 'complete') tasks += TASKS_PER_JOB
     }
   }
-  await Promise.all(Array.from({ length: JOBS_AT_ONCE }, (_, index) => lane(index)))
+  await Promise.all(Array.from({ length: CONCURRENT_JOBS }, (_, index) => sendJobs(index)))
   return tasks
 }
 
-const measureSpending = async (name: string, options: ClusterOptions, work: Work): Promise<Spending> => {
+const measureUsage = async (name: string, options: ClusterOptions, workload: Workload): Promise<ResourceUsage> => {
   const cluster = await Cluster.start({ log: '', workspaces: [{ name: 'workspace-0' }], ...options })
   try {
     await sleep(1000)
     const before = await snapshot(cluster)
     const startedAt = performance.now()
-    const tasks = await work(cluster)
+    const tasks = await workload(cluster)
     const seconds = (performance.now() - startedAt) / 1000
     const after = await snapshot(cluster)
-    const grown = (kind: 'entries' | 'agents', metric: string) => (mean(after[kind], metric) - mean(before[kind], metric)) / seconds
+    const increasePerSecond = (kind: 'entries' | 'agents', metric: string) => (mean(after[kind], metric) - mean(before[kind], metric)) / seconds
     return {
       name,
       tasksPerSecond: tasks / seconds,
-      entryCoreShare: grown('entries', 'process_cpu_seconds_total'),
-      agentCoreShare: grown('agents', 'process_cpu_seconds_total'),
+      entryCoreShare: increasePerSecond('entries', 'process_cpu_seconds_total'),
+      agentCoreShare: increasePerSecond('agents', 'process_cpu_seconds_total'),
       entryMb: mean(after.entries, 'process_resident_memory_bytes') / 1e6,
       agentMb: mean(after.agents, 'process_resident_memory_bytes') / 1e6,
-      framesPerSecond: grown('entries', 'hazellift_frames_total'),
-      bytesPerSecondAnAgent: (after.bytes - before.bytes) / seconds / cluster.workers.length,
+      framesPerSecond: increasePerSecond('entries', 'hazellift_frames_total'),
+      bytesPerSecondPerAgent: (after.bytes - before.bytes) / seconds / cluster.workers.length,
       readsPerSecond: (after.reads - before.reads) / seconds,
       writesPerSecond: (after.writes - before.writes) / seconds
     }
@@ -111,14 +111,14 @@
   }
 }
 
-const workspacesOf = (count: number) => Array.from({ length: count }, (_, index) => ({ name: `workspace-${index}` }))
+const createWorkspaces = (count: number) => Array.from({ length: count }, (_, index) => ({ name: `workspace-${index}` }))
 
-const TRIALS: [string, ClusterOptions, Work][] = [
-  ...[4, 11, 22].map((workers): [string, ClusterOptions, Work] => [`idle, 3 entries, ${workers} agents`, { entries: 3, workers }, idle]),
-  ...[1, 6].map((entries): [string, ClusterOptions, Work] => [`idle, ${entries} entries, 11 agents`, { entries, workers: 11 }, idle]),
-  ...[1, 50, 200].map((count): [string, ClusterOptions, Work] =>
-    [`idle, ${count} workspaces`, { entries: 1, workers: 2, workspaces: workspacesOf(count) }, idle]),
-  ...[2, 4, 8].map((slots): [string, ClusterOptions, Work] =>
+const TRIALS: [string, ClusterOptions, Workload][] = [
+  ...[4, 11, 22].map((workers): [string, ClusterOptions, Workload] => [`idle, 3 entries, ${workers} agents`, { entries: 3, workers }, idle]),
+  ...[1, 6].map((entries): [string, ClusterOptions, Workload] => [`idle, ${entries} entries, 11 agents`, { entries, workers: 11 }, idle]),
+  ...[1, 50, 200].map((count): [string, ClusterOptions, Workload] =>
+    [`idle, ${count} workspaces`, { entries: 1, workers: 2, workspaces: createWorkspaces(count) }, idle]),
+  ...[2, 4, 8].map((slots): [string, ClusterOptions, Workload] =>
     [`full, 1 entry, 11 agents of ${slots} slots, tasks of ${TASK_MS} ms`, { entries: 1, workers: 11, slots }, saturate]),
   ['full, 1 entry, 11 agents of 32 slots', { entries: 1, workers: 11, slots: 32 }, saturate],
   ['idle, 3 entries, 4 agents, relayed', { entries: 3, workers: 4, relays: true }, idle],
@@ -135,8 +135,8 @@
   style: { head: [], border: [] }
 })
 for (const [name, options, work] of TRIALS.filter(([name]) => name.includes(only))) {
-  const s = await measureSpending(name, options, work)
+  const s = await measureUsage(name, options, work)
   table.push([s.name, s.tasksPerSecond.toFixed(0), s.entryCoreShare.toFixed(4), s.agentCoreShare.toFixed(4), s.entryMb.toFixed(0),
-    s.agentMb.toFixed(0), s.framesPerSecond.toFixed(1), s.bytesPerSecondAnAgent.toFixed(0), s.readsPerSecond.toFixed(1), s.writesPerSecond.toFixed(1)])
+    s.agentMb.toFixed(0), s.framesPerSecond.toFixed(1), s.bytesPerSecondPerAgent.toFixed(0), s.readsPerSecond.toFixed(1), s.writesPerSecond.toFixed(1)])
 }
 process.stdout.write(`${table.toString()}\n`)
--- a/packages/standins/src/platform/faults.ts
+++ b/packages/standins/src/platform/faults.ts
@@ -39,11 +39,11 @@
 }
 
 /** Spaces calls out to a rate; gives each one's delay in ms. */
-export class Pace {
+export class CallPacer {
   private nextAt = 0
 
   /** Ms that a call starting now must wait. */
-  delay (perSecond: number): number {
+  nextDelayMs (perSecond: number): number {
     const now = performance.now()
     const startAt = Math.max(now, this.nextAt)
     this.nextAt = startAt + 1000 / perSecond
--- a/packages/standins/src/platform/memoryTable.ts
+++ b/packages/standins/src/platform/memoryTable.ts
@@ -1,13 +1,13 @@
 import type { TableRow, TableWrite, TransactOutcome } from '@hazellift/store'
 
-const byKey = (a: string, b: string): number => a < b ? -1 : 1
+const compareKeys = (a: string, b: string): number => a < b ? -1 : 1
 
 /** Rows in memory, with a version that grows by one for each transaction. */
 export class MemoryTable {
   private readonly rows = new Map<string, TableRow>()
   private version = 0n
   /** Keys in order; unset after a key came or went. */
-  private sorted: string[] | undefined
+  private sortedKeys: string[] | undefined
 
   /** Rows held. */
   get size (): number {
@@ -21,8 +21,8 @@
 
   /** Rows with a prefix, in key order. */
   scan (prefix: string, after: string, limit: number): TableRow[] {
-    this.sorted ??= [...this.rows.keys()].sort(byKey)
-    const found = this.sorted.filter((key) => key.startsWith(prefix) && key > after)
+    this.sortedKeys ??= [...this.rows.keys()].sort(compareKeys)
+    const found = this.sortedKeys.filter((key) => key.startsWith(prefix) && key > after)
     return found.slice(0, limit).map((key) => this.rows.get(key)!)
   }
 
@@ -37,7 +37,7 @@
   }
 
   private apply ({ key, value }: TableWrite): void {
-    if (this.rows.has(key) !== (value !== undefined)) this.sorted = undefined
+    if (this.rows.has(key) !== (value !== undefined)) this.sortedKeys = undefined
     if (value === undefined) this.rows.delete(key)
     else this.rows.set(key, { key, version: this.version, value })
   }
--- a/packages/standins/src/platform/startPlatform.ts
+++ b/packages/standins/src/platform/startPlatform.ts
@@ -9,7 +9,7 @@
   ReadRequestSchema, RowListSchema, ScanRequestSchema, TransactRequestSchema, TransactResponseSchema
 } from '@hazellift/protocol'
 import createRouter from 'find-my-way'
-import { HEALTHY, PLATFORM_MODES, Pace } from './faults.js'
+import { HEALTHY, PLATFORM_MODES, CallPacer } from './faults.js'
 import type { PlatformFaults } from './faults.js'
 import { MemoryTable } from './memoryTable.js'
 
@@ -46,16 +46,16 @@
   readonly objects = new Map<string, Buffer>()
   readonly counts: CallCounts = { reads: 0, writes: 0, rowsWritten: 0, objectCalls: 0 }
   faults: PlatformFaults = { ...HEALTHY }
-  private readonly readPace = new Pace()
-  private readonly writePace = new Pace()
+  private readonly readPacer = new CallPacer()
+  private readonly writePacer = new CallPacer()
 
   /** True once the call may go on; false if it was refused or must hang. */
   async admit (res: ServerResponse, kind: 'read' | 'write'): Promise<boolean> {
-    if (this.isAway(res)) return false
+    if (this.refuseIfUnavailable(res)) return false
     const { readMs, writeMs, readsPerSecond, writesPerSecond } = this.faults
-    const waitMs = kind === 'read' ? this.readPace.delay(readsPerSecond) + readMs : this.writePace.delay(writesPerSecond) + writeMs
+    const waitMs = kind === 'read' ? this.readPacer.nextDelayMs(readsPerSecond) + readMs : this.writePacer.nextDelayMs(writesPerSecond) + writeMs
     await sleep(waitMs)
-    return !this.isAway(res)
+    return !this.refuseIfUnavailable(res)
   }
 
   async read (req: IncomingMessage, res: ServerResponse): Promise<void> {
@@ -110,7 +110,7 @@
     sendJson(res, JSON.stringify(this.faults))
   }
 
-  private isAway (res: ServerResponse): boolean {
+  private refuseIfUnavailable (res: ServerResponse): boolean {
     if (this.faults.mode === PLATFORM_MODES.refuse) res.writeHead(503).end('out of service')
     return this.faults.mode !== PLATFORM_MODES.ok
   }
--- a/packages/store/src/createHttpCaller.ts
+++ b/packages/store/src/createHttpCaller.ts
@@ -23,7 +23,7 @@
   /** Longest wait for this call, in ms; unset for the caller's. */
   timeoutMs?: number
   /** Statuses from 400 on that are answers of this call, not faults. */
-  answers?: readonly number[]
+  acceptedStatuses?: readonly number[]
 }
 
 /** Status and body of a response that the platform gave on purpose. */
@@ -35,17 +35,17 @@
 const DEFAULT_CONNECTIONS = 16
 /** Errors raised before a byte of the request was sent. */
 const NOT_SENT_CODES = new Set(['ECONNREFUSED', 'UND_ERR_CONNECT_TIMEOUT', 'EHOSTUNREACH', 'ENETUNREACH'])
-const TURNED_AWAY_STATUSES = new Set([429, 503])
+const REFUSED_STATUSES = new Set([429, 503])
 
 const classifyError = (err: unknown): StoreFault => {
-  const notSent = NOT_SENT_CODES.has(errorCode(err) ?? '')
-  return { type: notSent ? 'refused' : 'unknown', message: errorMessage(err) }
+  const isNotSent = NOT_SENT_CODES.has(errorCode(err) ?? '')
+  return { type: isNotSent ? 'refused' : 'unknown', message: errorMessage(err) }
 }
 
-const classifyReply = (reply: HttpReply, answers: readonly number[]): Result<HttpReply, StoreFault> => {
-  if (reply.status < 400 || reply.status === 404 || answers.includes(reply.status)) return ok(reply)
+const classifyReply = (reply: HttpReply, acceptedStatuses: readonly number[]): Result<HttpReply, StoreFault> => {
+  if (reply.status < 400 || reply.status === 404 || acceptedStatuses.includes(reply.status)) return ok(reply)
   const message = `status ${reply.status}: ${Buffer.from(reply.body).toString()}`
-  if (TURNED_AWAY_STATUSES.has(reply.status)) return fail({ type: 'refused', message })
+  if (REFUSED_STATUSES.has(reply.status)) return fail({ type: 'refused', message })
   return fail({ type: reply.status < 500 ? 'invalid' : 'unknown', message })
 }
 
@@ -62,7 +62,7 @@
     connections: options.connections ?? DEFAULT_CONNECTIONS,
     connect: { timeout: options.timeoutMs }
   })
-  const send = async ({ method, path, body, timeoutMs, answers }: HttpCall): Promise<Result<HttpReply, StoreFault>> => {
+  const send = async ({ method, path, body, timeoutMs, acceptedStatuses: answers }: HttpCall): Promise<Result<HttpReply, StoreFault>> => {
     try {
       const res = await pool.request({
         method,
--- a/packages/store/src/errors.ts
+++ b/packages/store/src/errors.ts
@@ -8,4 +8,4 @@
   | { type: 'invalid', message: string }
 
 /** A refusal of which it is certain that nothing took effect. */
-export const isCertain = (fault: StoreFault): boolean => fault.type !== 'unknown'
+export const hadNoEffect = (fault: StoreFault): boolean => fault.type !== 'unknown'
--- a/packages/store/src/groupCommit.test.ts
+++ b/packages/store/src/groupCommit.test.ts
@@ -8,11 +8,11 @@
 const bytes = (text: string) => Buffer.from(text)
 
 /** A table in memory whose transactions follow a script, then apply. */
-const createFakeTable = (steps: Step[], initial: Record<string, string> = {}) => {
+const createScriptedTable = (steps: Step[], initial: Record<string, string> = {}) => {
   let version = 1n
   const rows = new Map<string, TableRow>(
     Object.entries(initial).map(([key, value]) => [key, { key, version, value: bytes(value) }]))
-  const sizes: number[] = []
+  const batchSizes: number[] = []
   const apply = (writes: TableWrite[]) => {
     const current = writes.map(({ key }) => rows.get(key) ?? { key, version: 0n, value: bytes('') })
     const conflicts = current.filter((row, i) => row.version !== writes[i]!.ifVersion)
@@ -28,7 +28,7 @@
     read: async () => ok([]),
     scan: async () => ok([]),
     transact: async (writes) => {
-      sizes.push(writes.length)
+      batchSizes.push(writes.length)
       const step = steps.shift() ?? 'apply'
       if (step === 'refuse') return fail({ type: 'refused', message: 'down' })
       if (step === 'hang') return fail({ type: 'unknown', message: 'timeout' })
@@ -36,11 +36,11 @@
       return step === 'loseAck' ? fail({ type: 'unknown', message: 'lost' }) : res
     }
   }
-  return { table, rows, sizes }
+  return { table, rows, sizes: batchSizes }
 }
 
 const setUp = (steps: Step[], initial?: Record<string, string>) => {
-  const fake = createFakeTable(steps, initial)
+  const fake = createScriptedTable(steps, initial)
   const group = new GroupCommit({ table: fake.table, clock: systemClock, intervalMs: 0, maxRows: 3, backoff: () => 1 })
   return { ...fake, group }
 }
--- a/packages/store/src/groupCommit.ts
+++ b/packages/store/src/groupCommit.ts
@@ -27,14 +27,14 @@
   deadline: number
   /** True once a transaction with this write ended with an unknown outcome. */
   inDoubt: boolean
-  settle: (outcome: CommitOutcome) => void
+  resolve: (outcome: CommitOutcome) => void
 }
 
 const sameBytes = (a: Uint8Array, b: Uint8Array | undefined): boolean =>
   b !== undefined && Buffer.compare(a, b) === 0
 
 /** The row shows the state that the write asked for, so an earlier sending of it took effect. */
-const isWritten = ({ value }: TableWrite, row: TableRow): boolean =>
+const isApplied = ({ value }: TableWrite, row: TableRow): boolean =>
   value === undefined ? row.version === 0n : row.version !== 0n && sameBytes(row.value, value)
 
 const takeBatch = (queue: PendingWrite[], maxRows: number): PendingWrite[] => {
@@ -63,7 +63,7 @@
   private readonly queue: PendingWrite[] = []
   private inFlight = 0
   private failures = 0
-  private running = false
+  private isSending = false
 
   constructor (private readonly options: GroupCommitOptions) {}
 
@@ -76,8 +76,8 @@
    */
   commit (write: TableWrite, deadline: number): Promise<CommitOutcome> {
     return new Promise((resolve) => {
-      this.queue.push({ write, deadline, inDoubt: false, settle: resolve })
-      if (!this.running) void this.run()
+      this.queue.push({ write, deadline, inDoubt: false, resolve: resolve })
+      if (!this.isSending) void this.sendAll()
     })
   }
 
@@ -91,17 +91,17 @@
     return this.failures < DOWN_AFTER_FAILURES
   }
 
-  private async run (): Promise<void> {
+  private async sendAll (): Promise<void> {
     const { clock, intervalMs, backoff } = this.options
-    this.running = true
+    this.isSending = true
     while (this.queue.length > 0) {
       const startedAt = clock.now()
       await this.sendBatch()
-      this.expire()
+      this.expireWrites()
       const pause = this.failures > 0 ? backoff(this.failures) : intervalMs - (clock.now() - startedAt)
       if (pause > 0) await clock.sleep(pause)
     }
-    this.running = false
+    this.isSending = false
   }
 
   private async sendBatch (): Promise<void> {
@@ -111,18 +111,18 @@
     this.inFlight = 0
     this.failures = res.ok ? 0 : this.failures + 1
     if (!res.ok) return this.requeue(batch, res.err)
-    if (res.value.type === 'conflict') return this.settleConflicts(batch, res.value.rows)
+    if (res.value.type === 'conflict') return this.resolveConflicts(batch, res.value.rows)
     const { version } = res.value
-    for (const pending of batch) pending.settle({ type: 'committed', version })
+    for (const pending of batch) pending.resolve({ type: 'committed', version })
   }
 
-  private settleConflicts (batch: PendingWrite[], rows: TableRow[]): void {
+  private resolveConflicts (batch: PendingWrite[], rows: TableRow[]): void {
     const byKey = new Map(rows.map((row) => [row.key, row]))
     for (const pending of batch) {
       const row = byKey.get(pending.write.key)
       if (row === undefined) this.queue.unshift(pending)
-      else if (isWritten(pending.write, row)) pending.settle({ type: 'committed', version: row.version })
-      else pending.settle({ type: 'conflict', row })
+      else if (isApplied(pending.write, row)) pending.resolve({ type: 'committed', version: row.version })
+      else pending.resolve({ type: 'conflict', row })
     }
   }
 
@@ -131,12 +131,12 @@
     this.queue.unshift(...batch)
   }
 
-  private expire (): void {
+  private expireWrites (): void {
     const now = this.options.clock.now()
     const expired = this.queue.filter(({ deadline }) => deadline <= now)
     for (const pending of expired) {
       this.queue.splice(this.queue.indexOf(pending), 1)
-      pending.settle({ type: 'expired', certain: !pending.inDoubt, message: 'the table did not answer in time' })
+      pending.resolve({ type: 'expired', certain: !pending.inDoubt, message: 'the table did not answer in time' })
     }
   }
 }
--- a/tests/commands.test.ts
+++ b/tests/commands.test.ts
@@ -48,7 +48,7 @@
 })
 
 test('an agent with a wrong cluster token gets no session', async () => {
-  const { session } = cluster().entries[0]!.facts as { session: string }
+  const { session } = cluster().entries[0]!.startupInfo as { session: string }
   const agent = await startProgram({
     name: 'stranger',
     script: mainOf('agent'),
--- a/tests/failures/configRaces.test.ts
+++ b/tests/failures/configRaces.test.ts
@@ -52,7 +52,7 @@
 
 test('an entry that starts during an outage of the table is not ready, and never serves an older configuration', () => withCluster(async (cluster) => {
   const { version } = await putPolicy(cluster, 0, { admit: 'job.tasks < 2', seenVersion: '0' })
-  const { api, session } = cluster.entries[1]!.facts as { api: string, session: string }
+  const { api, session } = cluster.entries[1]!.startupInfo as { api: string, session: string }
   cluster.entries[1]!.kill('SIGKILL')
   await cluster.entries[1]!.exited
   await cluster.setPlatform({ mode: 'refuse' })
--- a/tests/failures/entryFailures.test.ts
+++ b/tests/failures/entryFailures.test.ts
@@ -55,7 +55,7 @@
   const job = { id: 'before', tasks: tasksOf(6, 800), unrepeatable: true }
   const first = submit(cluster, job)
   await sleep(300)
-  const { api, session } = cluster.entries[0]!.facts as { api: string, session: string }
+  const { api, session } = cluster.entries[0]!.startupInfo as { api: string, session: string }
   cluster.entries[0]!.kill('SIGKILL')
   await first
   cluster.entries[0] = await cluster.startEntry(0, { api, session })
--- a/tests/failures/plannedStops.test.ts
+++ b/tests/failures/plannedStops.test.ts
@@ -62,7 +62,7 @@
     await sleep(400)
     worker.agent.kill('SIGTERM')
     expect(await worker.agent.exited).toBe(0)
-    worker.agent = await cluster.startAgent(worker.index, worker.agent.facts['agent']!.split(':')[1]!)
+    worker.agent = await cluster.startAgent(worker.index, worker.agent.startupInfo['agent']!.split(':')[1]!)
     await cluster.waitForEndpoints(4)
     worker.endpoint.kill('SIGTERM')
     expect(await worker.endpoint.exited).toBe(0)
--- a/tests/failures/platformFailures.test.ts
+++ b/tests/failures/platformFailures.test.ts
@@ -144,7 +144,7 @@
   withCluster(async (cluster) => {
     const job = { id: 'ran-there', tasks: tasksOf(3, 50) }
     expect(await submit(cluster, job, { entry: 0 })).toMatchObject({ state: 'complete' })
-    const { api, session } = cluster.entries[0]!.facts as { api: string, session: string }
+    const { api, session } = cluster.entries[0]!.startupInfo as { api: string, session: string }
     if (again) await cluster.setPlatform({ mode: 'refuse' })
     cluster.entries[0]!.kill(signal)
     await cluster.entries[0]!.exited
--- a/tests/failures/workerFailures.test.ts
+++ b/tests/failures/workerFailures.test.ts
@@ -18,7 +18,7 @@
   const { agent } = cluster.workers[0]!
   agent.kill('SIGKILL')
   await agent.exited
-  cluster.workers[0]!.agent = await cluster.startAgent(0, agent.facts['agent']!.split(':')[1]!)
+  cluster.workers[0]!.agent = await cluster.startAgent(0, agent.startupInfo['agent']!.split(':')[1]!)
   expect(await told).toMatchObject({ state: 'failed', reason: 'agent_lost' })
   await cluster.waitForEndpoints(3)
   expect(await submit(cluster, { id: 'after', tasks: tasksOf(12, 200) })).toMatchObject({ state: 'complete' })
@@ -105,7 +105,7 @@
   await cluster.setEndpoint(0, { announces: false })
   await cluster.waitForEndpoints(2)
   expect(await submit(cluster, { id: 'silent', tasks: tasksOf(30, 20) })).toMatchObject({ state: 'complete' })
-  const record = await (await fetch(`http://${cluster.workers[0]!.endpoint.facts['endpoint']}/record`)).json() as { starts: object[] }
+  const record = await (await fetch(`http://${cluster.workers[0]!.endpoint.startupInfo['endpoint']}/record`)).json() as { starts: object[] }
   expect(record.starts).toHaveLength(0)
 }))
 
