--- a/packages/coordination/src/dispatch/agentHandle.ts
+++ b/packages/coordination/src/dispatch/agentHandle.ts
@@ -15,7 +15,7 @@
 /** An entry's view of one agent and its endpoint. */
 export interface AgentHandle {
   agentId: string
-  /** Tells this process of the agent from earlier ones. */
+  /** Distinguishes this process of the agent from earlier ones. */
   incarnation: string
   zone: string
   /** Service that the endpoint offers; empty for none. */
--- a/packages/coordination/src/jobs/jobService.ts
+++ b/packages/coordination/src/jobs/jobService.ts
@@ -50,7 +50,7 @@
 /**
  * Share of `staleAfterMs` up to which a read of the entries counts as fresh. It
  * is below 1 because an entry that some others don't know yet claims nothing
- * until its row has stood for `staleAfterMs`: a fresh read includes every entry
+ * until its row has existed for `staleAfterMs`: a fresh read includes every entry
  * that may claim.
  */
 const FRESH_READ_SHARE = 0.75
--- a/packages/coordination/src/jobs/jobStarter.ts
+++ b/packages/coordination/src/jobs/jobStarter.ts
@@ -52,12 +52,12 @@
  * owner, only the results are collected, as its tasks may have run.
  */
 export class JobStarter {
-  /** Nonces of claims that this entry gave up before it started anything; it never starts anything under them. */
+  /** Nonces of claims that this entry released before it started anything; it never starts anything under them. */
   private readonly released = new Set<string>()
 
   constructor (private readonly options: JobStarterOptions) {}
 
-  /** True if this entry gave up the claim with this nonce, so that nothing was or will be started under it. */
+  /** True if this entry released the claim with this nonce, so that nothing was or will be started under it. */
   isReleased (nonce: string): boolean {
     return this.released.has(nonce)
   }
--- a/packages/coordination/src/jobs/outageLookup.ts
+++ b/packages/coordination/src/jobs/outageLookup.ts
@@ -83,8 +83,8 @@
   }
 
   private runStateOf (findings: PeerFinding[], isEveryEntryKnown: boolean): RunState {
-    const isProved = isEveryEntryKnown && this.options.isMemoryWhole() && findings.every(isReliableReply)
-    return isProved ? RUN_STATES.notRun : RUN_STATES.mayHaveRun
+    const isNotRun = isEveryEntryKnown && this.options.isMemoryWhole() && findings.every(isReliableReply)
+    return isNotRun ? RUN_STATES.notRun : RUN_STATES.mayHaveRun
   }
 
   private async waitAtPeer ({ address, response }: PeerFinding, workspace: string, submission: string, waitMs: number): Promise<JobReply> {
--- a/packages/coordination/src/jobs/peerAnswers.ts
+++ b/packages/coordination/src/jobs/peerAnswers.ts
@@ -21,7 +21,7 @@
   incarnation: string
   /** Resolves once no claim of the submission is being written here. */
   afterClaiming: (key: string) => Promise<unknown>
-  /** True if this entry gave up the claim with this nonce before it started anything. */
+  /** True if this entry released the claim with this nonce before it started anything. */
   isReleased: (nonce: string) => boolean
 }
 
--- a/packages/coordination/src/tasks/taskHost.ts
+++ b/packages/coordination/src/tasks/taskHost.ts
@@ -13,7 +13,7 @@
   record: TaskRecord
   start: Start
   /** Incarnation of the entry that sent the start; its slot is counted there. */
-  owner: string
+  sender: string
 }
 
 const NO_ENDPOINT = create(EndpointStateSchema)
@@ -54,9 +54,10 @@
   }
 
   /**
-   * Begins a session with an entry's incarnation: sends what this agent holds
-   * for the entry, and credits. An earlier session with the same incarnation has
-   * been closed, and frames that it may still carry are not accepted.
+   * Begins a session with an entry's incarnation: lists the entry's starts that
+   * run, wait or have an unacknowledged result here, and grants credits. An
+   * earlier session with the same incarnation has been closed, and frames that
+   * it may still carry are not accepted.
    *
    * @param add - changes the next frame that is sent on the session
    */
@@ -65,9 +66,9 @@
     this.granter.addEntry(incarnation)
     const unacked = this.sessions.unackedOf(incarnation)
     const started = this.ledger.startsOf(incarnation)
-    const held = [...started.filter(({ result }) => result === undefined), ...unacked].map(({ key }) => key!)
+    const accepted = [...started.filter(({ result }) => result === undefined), ...unacked].map(({ key }) => key!)
     add((frame) => {
-      frame.resume = create(ResumeSchema, { held })
+      frame.resume = create(ResumeSchema, { held: accepted })
       frame.endpoint = this.endpoint
       frame.leaving = this.leaving
     })
@@ -86,7 +87,7 @@
 
   /** Handles a frame that an entry sent on its session. */
   onFrame (incarnation: string, add: AddToFrame, frame: EntryFrame): void {
-    // A frame of a closed session may hold starts that its entry has since sent to other agents.
+    // A frame of a closed session may contain starts that its entry has since sent to other agents.
     if (!this.sessions.isLatest(incarnation, add)) return
     this.sessions.onFrame(incarnation, frame)
     if (frame.returnedCredits > 0) this.granter.returnCredits(incarnation, frame.returnedCredits)
@@ -170,7 +171,7 @@
     }
     const record: TaskRecord = { key, origin: incarnation, recipient: incarnation }
     this.ledger.add(record)
-    this.waitingStarts.push({ record, start, owner: incarnation })
+    this.waitingStarts.push({ record, start, sender: incarnation })
     this.runWaiting()
   }
 
@@ -204,7 +205,7 @@
     while (this.waitingStarts.length > 0 && this.running < this.endpoint.slots) void this.run(this.waitingStarts.shift()!)
   }
 
-  private async run ({ record, start, owner }: WaitingStart): Promise<void> {
+  private async run ({ record, start, sender }: WaitingStart): Promise<void> {
     const { clock, runAttempt } = this.options
     const controller = new AbortController()
     let abortReason: string | undefined
@@ -220,12 +221,12 @@
     this.running--
     const isAborted = abortReason !== undefined && end.outcome === TASK_OUTCOMES.failed
     const runMs = Math.round(clock.now() - startedAt)
-    this.end(record, owner, { ...end, reason: isAborted ? abortReason as Reason : end.reason }, runMs)
+    this.end(record, sender, { ...end, reason: isAborted ? abortReason as Reason : end.reason }, runMs)
   }
 
-  private end (record: TaskRecord, owner: string, end: AttemptEnd, runMs: number): void {
+  private end (record: TaskRecord, sender: string, end: AttemptEnd, runMs: number): void {
     const result = create(TaskResultSchema, { key: record.key, ...end, runMs })
-    this.granter.release(owner)
+    this.granter.release(sender)
     this.options.onResult?.(result)
     // Forgotten, because the entry may send this start again, which would otherwise be ignored as a duplicate.
     if (end.outcome === TASK_OUTCOMES.notStarted) this.ledger.remove(record.key)
@@ -265,15 +266,15 @@
     const refused = this.waitingStarts.filter(({ record }) => records.has(record))
     for (const waiting of refused) {
       this.waitingStarts.splice(this.waitingStarts.indexOf(waiting), 1)
-      this.end(waiting.record, waiting.owner, { outcome: TASK_OUTCOMES.notStarted, reason, body: '' }, 0)
+      this.end(waiting.record, waiting.sender, { outcome: TASK_OUTCOMES.notStarted, reason, body: '' }, 0)
     }
   }
 
   /**
    * Sends the next credits to entries.
    *
-   * @param hasFrame - true for entries that get a frame anyway, so that renewing their standing credits costs none
-   * @param recipient - the entry that a result goes to now, preferred among entries served about alike
+   * @param hasFrame - true for entries that get a frame anyway, so that the renewal of their standing credits needs no message of its own
+   * @param recipient - the entry that a result goes to now, preferred among entries that are served about equally
    */
   private grant (hasFrame: (entry: string) => boolean = () => false, recipient?: string): void {
     for (const { entry, credits } of this.granter.plan(hasFrame, recipient)) {
--- a/packages/coordination/tests/fakeClock.ts
+++ b/packages/coordination/tests/fakeClock.ts
@@ -11,7 +11,7 @@
   fn: () => void
 }
 
-/** Creates a clock that stands at 0 and runs timers only in `advance`. */
+/** Creates a clock that starts at 0 and runs timers only in `advance`. */
 export const createFakeClock = (): FakeClock => {
   let now = 0
   const timers = new Set<Timer>()
--- a/packages/coordination/tests/handoff/handOn.test.ts
+++ b/packages/coordination/tests/handoff/handOn.test.ts
@@ -4,7 +4,7 @@
 import { overlappingRuns } from '../leased/fakeEndpoint.js'
 import { HandOnNetwork } from './handOnNetwork.js'
 
-/** Delay that callers keep before they send a job again; longer than the termination bound. */
+/** Delay that callers observe before they send a job again; longer than the termination bound. */
 const RESEND_MS = 1300
 /** After this time agents and entries are connected, and echoes to agents are limited. */
 const WARM_UP_MS = 1000
@@ -33,7 +33,7 @@
  */
 const lateEchoes = ({ leased: { entries } }: HandOnNetwork): number[] =>
   [...entries[1]!.dispatcher.fleet.agents.values()].flatMap(({ echoedStampMs, sent }) =>
-    [...sent.values()].flatMap(({ job: { originEntry: sponsor } }) => sponsor !== undefined && echoedStampMs > sponsor.aliveAt ? [echoedStampMs - sponsor.aliveAt] : []))
+    [...sent.values()].flatMap(({ job: { originEntry } }) => originEntry !== undefined && echoedStampMs > originEntry.aliveAt ? [echoedStampMs - originEntry.aliveAt] : []))
 
 /** Advances the time in small steps and checks after each that no echo is late. */
 const advanceCheckingEchoes = async (network: HandOnNetwork, ms: number): Promise<void> => {
@@ -45,7 +45,7 @@
 
 /** When entry 1 last knew the origin entry of its hosted jobs to be alive, on the common clock. */
 const originAliveAt = ({ leased: { entries } }: HandOnNetwork): number => Math.max(...[...entries[1]!.dispatcher.fleet.agents.values()]
-  .flatMap(({ sent }) => [...sent.values()].map(({ job: { originEntry: sponsor } }) => sponsor?.aliveAt ?? -Infinity)))
+  .flatMap(({ sent }) => [...sent.values()].map(({ job: { originEntry } }) => originEntry?.aliveAt ?? -Infinity)))
 
 describe('jobs handed on to another entry', () => {
   it('an entry with a late event loop hands its jobs on to its neighbour, which runs each of them once', async () => {
@@ -230,7 +230,7 @@
         network.leased.clock.after(50 + draw(1000), healAll)
       }
       const [first] = waiting
-      // A caller leaves, and sends its job again after the delay that callers have to keep.
+      // A caller leaves, and sends its job again after the delay that callers must observe.
       if (first !== undefined && random() < 0.3) {
         first[1].leave()
         waiting.delete(first[0])
--- a/packages/coordination/tests/handoff/handOnNetwork.ts
+++ b/packages/coordination/tests/handoff/handOnNetwork.ts
@@ -11,7 +11,7 @@
 /** So much that an entry's share of it is more than the jobs of these tests need. */
 const CAPACITY = { cpuMilli: 16_000, memoryMb: 16_000 }
 
-/** The parts of an entry that hand jobs on and host them. */
+/** The components of an entry that hand jobs on and host them. */
 export interface HandOnEntry {
   router: HandedOnJobs
   host: HostedJobs
--- a/packages/coordination/tests/leased/endpointCrashes.test.ts
+++ b/packages/coordination/tests/leased/endpointCrashes.test.ts
@@ -12,7 +12,7 @@
 const RESUBMIT_MS = 1300
 /** Jobs that may wait for seconds. */
 const PATIENT = { objective: { stretch: 20, slackMs: 8000, lateFactor: 3 }, deadlineMs: 12_000 }
-/** The platform breaks its promise if it starts a task this often after three endpoints have crashed under it. */
+/** Number of starts that a task must not reach after three endpoints have crashed under it. */
 const FORBIDDEN_STARTS = 3
 
 const crashesEndpoint = (submission: string): boolean => submission.startsWith('bad')
--- a/packages/coordination/tests/leased/entryLeases.test.ts
+++ b/packages/coordination/tests/leased/entryLeases.test.ts
@@ -16,9 +16,9 @@
 /** An agent's lease from one entry, on a process whose clocks can be made to differ. */
 class LeaseFixture {
   isOpen = true
-  /** How often the agent was told to stop runs without a lease. */
+  /** How often the agent was notified that runs without a lease must stop. */
   expiries = 0
-  /** How often the agent was told to request echoes. */
+  /** How often the agent was notified that echoes must be requested. */
   echoRequests = 0
   readonly process: ProcessClock
   private readonly referenceClock = createFakeClock()
--- a/packages/coordination/tests/leased/ephemeralJobs.test.ts
+++ b/packages/coordination/tests/leased/ephemeralJobs.test.ts
@@ -275,7 +275,7 @@
 
   const waits = [
     { name: 'it waits while its caller has time', objectiveMs: 4000, ms: 800, end: undefined },
-    { name: 'refused while the caller has time left', objectiveMs: 4000, ms: 1000, end: { type: 'refused', reason: REASONS.overload } },
+    { name: 'refused while the caller has time remaining', objectiveMs: 4000, ms: 1000, end: { type: 'refused', reason: REASONS.overload } },
     { name: 'it waits while its answer is of use', objectiveMs: 500, ms: 500, end: undefined },
     { name: 'refused as its answer would be late', objectiveMs: 500, ms: 700, end: { type: 'refused', reason: REASONS.overload } }
   ]
--- a/packages/coordination/tests/leased/fakeEndpoint.ts
+++ b/packages/coordination/tests/leased/fakeEndpoint.ts
@@ -53,7 +53,7 @@
 const STEP_MS = 5
 
 /**
- * Stands for one incarnation of an endpoint, with its run lease, run numbers and list
+ * Simulates one incarnation of an endpoint, with its run lease, run numbers and list
  * of ended runs, on a fake clock. In contrast to a real endpoint it runs no code, ends
  * runs only when `tick` is called, and records starts over its capacity, which it does
  * not refuse.
@@ -89,8 +89,8 @@
   start = (order: StartOrder): Promise<StartOutcome> => this.call('start', () => this.onStart(order), { type: 'unknown' })
   stop = (run: RunRef): Promise<boolean> => this.call('stop', () => this.onStop(run), false)
 
-  poll: LeasedEndpoint['poll'] = async ({ runLeaseMs: holdMs, lastSeen, waitMs }) => {
-    const leaseEndsAt = holdMs === undefined ? 0 : this.clock.now() + holdMs
+  poll: LeasedEndpoint['poll'] = async ({ runLeaseMs, lastSeen, waitMs }) => {
+    const leaseEndsAt = runLeaseMs === undefined ? 0 : this.clock.now() + runLeaseMs
     const isAnswered = await this.call('poll', () => {
       this.leaseEndsAt = Math.max(this.leaseEndsAt, leaseEndsAt)
       this.listedEnds = this.listedEnds.filter(({ seq }) => seq > lastSeen)
@@ -163,13 +163,13 @@
     this.crashPlan.onCrash()
   }
 
-  private onStart ({ submission, index, run, runLeaseMs: holdMs }: StartOrder): StartOutcome {
+  private onStart ({ submission, index, run, runLeaseMs }: StartOrder): StartOutcome {
     this.tick()
     const task = `${submission}.${index}`
     if (run <= (this.highestEndedRun.get(task) ?? 0)) return { type: 'number_used' }
     const now = this.clock.now()
-    if (now + holdMs < this.clock.now()) return { type: 'refused', reason: REASONS.endpointBusy }
-    this.leaseEndsAt = Math.max(this.leaseEndsAt, now + holdMs)
+    if (now + runLeaseMs < this.clock.now()) return { type: 'refused', reason: REASONS.endpointBusy }
+    this.leaseEndsAt = Math.max(this.leaseEndsAt, now + runLeaseMs)
     if (this.running.has(task)) return { type: 'started' }
     this.running.set(task, { submission, index, run, cpuMilli: this.cpuMilliOf(submission), startedAt: now, endsAt: now + this.runMs })
     this.onRunEvent('start', task)
--- a/packages/coordination/tests/leased/simulateQueueBurst.ts
+++ b/packages/coordination/tests/leased/simulateQueueBurst.ts
@@ -170,7 +170,7 @@
  * Simulates a burst of jobs in the queue of lowest priority.
  *
  * @param entryCount - number of entries that share the slots
- * @param shares - decides which part of the slots is reserved for each queue
+ * @param shares - decides what share of the slots is reserved for each queue
  * @param seed - of the arrivals
  */
 export const simulateQueueBurst = (entryCount: number, shares: ComputeShares, seed: number): BurstResult => new BurstSimulation(entryCount, shares, seed).simulate()
--- a/packages/coordination/tests/leased/suspension.test.ts
+++ b/packages/coordination/tests/leased/suspension.test.ts
@@ -5,7 +5,7 @@
 import { CAPACITY, overlappingRuns } from './fakeEndpoint.js'
 import { LeasedNetwork } from './leasedNetwork.js'
 
-// While a process is suspended, its steady clock stands still, so that leases seem to last
+// While a process is suspended, its steady clock stops, so that leases seem to last
 // longer than they do. An agent that relied on them would keep tasks running whose caller has
 // submitted the job to another entry meanwhile: two runs of a task would overlap.
 
@@ -45,7 +45,7 @@
 const withBootClocks = (cases: PauseCase[]): Array<PauseCase & { bootClock: BootClock }> =>
   cases.flatMap((pauseCase) => (pauseCase.bootClocks ?? BOOT_CLOCKS).map((bootClock) => ({ ...pauseCase, bootClock })))
 
-describe('a process that is suspended, while its steady clock stands still', () => {
+describe('a process that is suspended, while its steady clock stops', () => {
   const duringRun: PauseCase[] = [
     { name: 'suspended', act: (agent) => agent.suspend(450) },
     {
