--- a/packages/coordination/src/config/configWatch.ts
+++ b/packages/coordination/src/config/configWatch.ts
@@ -12,9 +12,9 @@
 /** A workspace as this entry applies it. */
 export interface WorkspaceConfig {
   record: WorkspaceRecord
-  /** Unset if the workspace has none; the default policy applies then. */
+  /** The workspace's own policy; unset if it has none, so that the default policy applies. */
   policy: PolicyRecord | undefined
-  /** Unset if the policy does not compile at this entry. */
+  /** The policy that applies, compiled; unset if it does not compile at this entry. */
   compiled: CompiledPolicy | undefined
 }
 
--- a/packages/coordination/tests/handoff/handOn.test.ts
+++ b/packages/coordination/tests/handoff/handOn.test.ts
@@ -8,7 +8,7 @@
 const RESEND_MS = 1300
 /** After this time agents and entries are connected, and echoes to agents are limited. */
 const WARM_UP_MS = 1000
-/** Time in which an entry that was suspended has its sessions open again. */
+/** Time in which the sessions of an entry that was frozen open again. */
 const RECONNECT_MS = 100
 const OBJECTIVE = { stretch: 20, slackMs: 2000, lateFactor: 3 }
 
@@ -20,7 +20,7 @@
 
 const submit = (network: HandOnNetwork, entry: number, id: string, count = 2) => network.leased.submit(entry, id, count, { objective: OBJECTIVE })
 
-const countRuns = ({ leased: { endpoints } }: HandOnNetwork): number => endpoints.reduce((sum, { endedRuns: past, openRuns: open }) => sum + past.length + open.length, 0)
+const countRuns = ({ leased: { endpoints } }: HandOnNetwork): number => endpoints.reduce((sum, { endedRuns, openRuns }) => sum + endedRuns.length + openRuns.length, 0)
 
 /** Age of the timestamp that an entry echoed last to an agent, in ms; the highest of all its agents. */
 const oldestEchoAgeMs = ({ leased: { clock, entries } }: HandOnNetwork, entry: number): number =>
@@ -101,9 +101,9 @@
   /** Faults while a job that was handed on runs at the neighbour. */
   const faults: Array<{ name: string, act: (network: HandOnNetwork) => void | Promise<void>, returned: string[] }> = [
     { name: 'the neighbour dies', act: (network) => network.kill(1), returned: ['entry_lost placed'] },
-    { name: 'the neighbour is suspended', act: (network) => network.freeze(1, true), returned: ['entry_lost placed'] },
+    { name: 'the neighbour is frozen', act: (network) => network.freeze(1, true), returned: ['entry_lost placed'] },
     {
-      name: 'the neighbour is suspended, and resumes with the frames that were sent to it',
+      name: 'the neighbour is frozen, and resumes with the frames that were sent to it',
       act: async (network) => {
         network.freeze(1, true)
         await network.advance(1250)
@@ -149,17 +149,17 @@
     network.kill(1)
     await network.advance(1300)
     expect(network.leased.jobEnds.get('j')).toMatchObject({ type: 'failed', reason: REASONS.handOnLost })
-    expect(network.leased.endpoints.flatMap(({ openRuns: open }) => open)).toEqual([])
+    expect(network.leased.endpoints.flatMap(({ openRuns }) => openRuns)).toEqual([])
   })
 
   /** Losses of the origin entry, after which the caller sends the job again, to the neighbour or to a third entry. */
   const losses: Array<{ name: string, act: (network: HandOnNetwork) => void }> = [
     { name: 'the origin entry dies', act: (network) => network.kill(0) },
     { name: 'the origin entry dies, and the neighbour is not notified', act: (network) => { network.cutStream({ toHost: true }); network.kill(0) } },
-    { name: 'the origin entry dies, and the neighbour is suspended', act: (network) => { network.kill(0); network.freeze(1, true) } },
+    { name: 'the origin entry dies, and the neighbour is frozen', act: (network) => { network.kill(0); network.freeze(1, true) } },
     { name: 'the origin entry and the neighbour die', act: (network) => { network.kill(0); network.kill(1) } },
     {
-      name: 'the origin entry dies, and the neighbour is suspended shortly before it would have cancelled the job',
+      name: 'the origin entry dies, and the neighbour is frozen shortly before it would have cancelled the job',
       act: (network) => {
         network.cutStream({ toHost: true })
         network.kill(0)
--- a/packages/coordination/tests/handoff/handOnNetwork.ts
+++ b/packages/coordination/tests/handoff/handOnNetwork.ts
@@ -15,7 +15,7 @@
 export interface HandOnEntry {
   router: HandedOnJobs
   host: HostedJobs
-  /** The entry's process is suspended. */
+  /** True while the entry's process is paused; its clock counts the pause. */
   isFrozen: boolean
   isStopping: boolean
   lagMs: number
@@ -47,7 +47,7 @@
 
   /** Advances the time and runs what is due meanwhile. */
   async advance (ms: number): Promise<void> {
-    for (let passed = 0; passed < ms; passed += STEP_MS) {
+    for (let passedMs = 0; passedMs < ms; passedMs += STEP_MS) {
       if (this.elapsedMs % SWEEP_MS === 0) this.sweep()
       await this.leased.advance(STEP_MS)
       this.elapsedMs += STEP_MS
@@ -55,12 +55,12 @@
   }
 
   /** Delays frames in the given directions, or delivers those that were delayed. */
-  cutStream (ways: { toHost?: boolean, toCaller?: boolean }): void {
-    Object.assign(this.stream!.isCut, ways)
+  cutStream (directions: { toHost?: boolean, toCaller?: boolean }): void {
+    Object.assign(this.stream!.isCut, directions)
     this.flush()
   }
 
-  /** Suspends or resumes the entry: while suspended, it receives and sends nothing. */
+  /** Freezes or resumes the entry: while frozen, it receives and sends nothing. */
   freeze (index: number, isFrozen: boolean): void {
     this.entries[index]!.isFrozen = isFrozen
     this.leased.entries[index]!.isUp = !isFrozen
--- a/packages/coordination/tests/leased/entryLeases.test.ts
+++ b/packages/coordination/tests/leased/entryLeases.test.ts
@@ -167,7 +167,7 @@
       state: STATES.valid
     },
     {
-      name: 'suspension, lease runs out unverified',
+      name: 'suspension, lease expires unverified',
       act: (fixture) => {
         fixture.pass(ENTRY_LEASE_MS - 50)
         fixture.suspend(300)
--- a/packages/coordination/tests/leased/evacuations.test.ts
+++ b/packages/coordination/tests/leased/evacuations.test.ts
@@ -25,16 +25,16 @@
   return network
 }
 
-/** An entry reads from the store which zones are evacuated. */
+/** Has an entry adopt a list of evacuated zones, as if it had read it from the store. */
 const evacuate = (network: LeasedNetwork, entry: number, version: bigint, zones: string[]): void =>
   network.entries[entry]!.dispatcher.sessions.setEvacuations({ version, zones })
 
-const startsAt = ({ endedRuns, openRuns }: FakeEndpoint, since = 0): number => [...endedRuns, ...openRuns].filter(({ startedAt }) => startedAt >= since).length
+const countStartsAt = ({ endedRuns, openRuns }: FakeEndpoint, since = 0): number => [...endedRuns, ...openRuns].filter(({ startedAt }) => startedAt >= since).length
 
 /** Number of starts in the zone "a" and elsewhere since a point in time. */
-const startsOf = ({ endpoints }: LeasedNetwork, since: number) => ({
-  inside: startsAt(endpoints[0]!, since) + startsAt(endpoints[1]!, since),
-  outside: startsAt(endpoints[2]!, since) + startsAt(endpoints[3]!, since)
+const countStarts = ({ endpoints }: LeasedNetwork, since: number) => ({
+  inside: countStartsAt(endpoints[0]!, since) + countStartsAt(endpoints[1]!, since),
+  outside: countStartsAt(endpoints[2]!, since) + countStartsAt(endpoints[3]!, since)
 })
 
 const submitMany = async (network: LeasedNetwork, prefix: string, jobs: number, entryOf: (job: number) => number): Promise<void> => {
@@ -53,14 +53,14 @@
     for (const endpoint of network.endpoints) endpoint.runMs = 700
     for (let job = 0; job < 4; job++) network.submit(job % 2, `before${job}`, 2, { kind: 'long', estimateMs: 700 })
     await network.advance(100)
-    expect(startsOf(network, 0).inside).toBeGreaterThan(0)
+    expect(countStarts(network, 0).inside).toBeGreaterThan(0)
     evacuate(network, 0, 5n, ['a'])
     await network.advance(ENTRIES_KNOW_MS)
     for (const endpoint of network.endpoints) endpoint.runMs = 100
     const since = network.clock.now()
     await submitMany(network, 'after', 20, (job) => job % 2)
     await network.advance(3000)
-    expect(startsOf(network, since)).toEqual({ inside: 0, outside: 40 })
+    expect(countStarts(network, since)).toEqual({ inside: 0, outside: 40 })
     expect([countCompleted(network, 'before'), countCompleted(network, 'after')]).toEqual([4, 20])
     expect(network.endedStartCounts.get(REASONS.leaseExpired)).toBeUndefined()
     expect(overlappingRuns(network.endpoints)).toEqual([])
@@ -75,10 +75,10 @@
     const since = network.clock.now()
     await submitMany(network, 'late', 10, () => 1)
     await network.advance(500)
-    expect(startsOf(network, since).inside).toBe(0)
+    expect(countStarts(network, since).inside).toBe(0)
     for (const agent of [1, 2, 3]) network.cut(agent, 1, false)
     await network.advance(4000)
-    expect(startsOf(network, since)).toEqual({ inside: 0, outside: 20 })
+    expect(countStarts(network, since)).toEqual({ inside: 0, outside: 20 })
     expect(countCompleted(network, 'late')).toBe(10)
   })
 
@@ -92,7 +92,7 @@
     await network.advance(AGENTS_KNOW_MS)
     const since = network.clock.now()
     await network.advance(10_000)
-    expect(startsOf(network, since).inside).toBe(0)
+    expect(countStarts(network, since).inside).toBe(0)
     expect(countCompleted(network, 'j')).toBe(JOBS)
     expect(overlappingRuns(network.endpoints)).toEqual([])
   })
@@ -115,7 +115,7 @@
     const since = network.clock.now()
     for (let job = 0; job < 12; job++) network.submit(job % 2, `j${job}`, 4)
     await network.advance(3000)
-    expect(startsOf(network, since).inside).toBeGreaterThan(0)
+    expect(countStarts(network, since).inside).toBeGreaterThan(0)
     expect(countCompleted(network, 'j')).toBe(12)
   })
 
@@ -156,7 +156,7 @@
     // Any beyond the first four are new incarnations of the zone's endpoint 0.
     const [first, second, ...others] = network.endpoints
     const inside = [first!, second!, ...others.slice(2)]
-    expect(inside.reduce((sum, endpoint) => sum + startsAt(endpoint, since), 0)).toBe(0)
+    expect(inside.reduce((sum, endpoint) => sum + countStartsAt(endpoint, since), 0)).toBe(0)
     const refused = [...network.jobEnds.values()].filter((end) => end.type === 'refused' && end.reason === REASONS.noEndpoint).length
     expect(countCompleted(network, 'j') + refused).toBe(16)
     expect(refused).toBeLessThanOrEqual(maxRefused)
@@ -187,7 +187,7 @@
       const since = network.clock.now()
       await submitMany(network, `s${round}-`, 5, () => pick(3))
       await network.advance(500)
-      if (isEvacuating) expect(startsOf(network, since).inside).toBe(0)
+      if (isEvacuating) expect(countStarts(network, since).inside).toBe(0)
     }
     expect(overlappingRuns(network.endpoints)).toEqual([])
   })
--- a/packages/coordination/tests/leased/leasedNetwork.ts
+++ b/packages/coordination/tests/leased/leasedNetwork.ts
@@ -12,6 +12,7 @@
 import { CAPACITY, FakeEndpoint } from './fakeEndpoint.js'
 import type { CrashMode } from './fakeEndpoint.js'
 
+/** Lease times of the entries and agents, unless a test sets others. */
 export const LEASE_TIMES: LeaseTimes = { entryLeaseMs: 600, runLeaseMs: 500, stopMs: 50, clockFactor: 1.02 }
 /** Interval of the agents' frames. */
 const KEEP_ALIVE_MS = 150
@@ -232,7 +233,7 @@
       endpoint: {
         start: (order) => agent.isUp ? process.receive(endpoint.start(order)) : new Promise(() => {}),
         stop: (run) => agent.isUp ? process.receive(endpoint.stop(run)) : new Promise(() => {}),
-        poll: (order) => agent.isUp ? process.receive(endpoint.poll(order)) : new Promise(() => {})
+        poll: (request) => agent.isUp ? process.receive(endpoint.poll(request)) : new Promise(() => {})
       }
     })
   }
--- a/packages/entry/src/http/authenticate.ts
+++ b/packages/entry/src/http/authenticate.ts
@@ -51,7 +51,7 @@
 
 /**
  * Checks whether the sender of a request may use a workspace. A sender with the token of another
- * workspace cannot tell whether this one exists.
+ * workspace does not learn whether this one exists.
  *
  * @param req - the request
  * @param configWatch - the configuration in force
--- a/packages/entry/src/http/jobHandlers.ts
+++ b/packages/entry/src/http/jobHandlers.ts
@@ -10,7 +10,7 @@
 
 const DEFAULT_WAIT_MS = 30_000
 
-/** Without the configuration the entry cannot tell whether the submission ran before, so it may have run. */
+/** Without the configuration the entry does not know whether the submission ran before, so it may have run. */
 const notReady: HttpError = {
   reason: REASONS.notReady, message: 'this entry has not read the configuration yet', run: RUN_STATES.mayHaveRun, retryAfterMs: 1000
 }
--- a/packages/entry/src/startEntry.ts
+++ b/packages/entry/src/startEntry.ts
@@ -23,7 +23,7 @@
   sessionAddress: string
   /** Resolves once the entry is ready for requests for the first time. */
   ready: Promise<void>
-  /** Stops gracefully: waits until all jobs have ended and all requests are answered. The caller limits this by a call of `cut`. */
+  /** Stops gracefully: waits until all jobs have ended and all requests are answered. The caller may end this early with `cut`. */
   stop: () => Promise<void>
   /** Ends a graceful stop early by failing all open jobs; returns their keys. */
   cut: () => string[]
