--- a/packages/agent/src/startAgent.ts
+++ b/packages/agent/src/startAgent.ts
@@ -22,8 +22,8 @@
 
 const DRAIN_CHECK_INTERVAL_MS = 20
 const SWEEP_INTERVAL_MS = 5000
-/** Longest wait for entries to acknowledge the last results, in ms. */
-const FINAL_ACK_TIMEOUT_MS = 2000
+/** Longest time that a stopping agent waits for entries to acknowledge its last results, in ms. */
+const FINAL_ACK_WAIT_MS = 2000
 
 const log = createLogger('agent')
 
@@ -78,8 +78,8 @@
 const drain = async (host: TaskHost): Promise<void> => {
   // Waits until all entries know that this agent leaves: a start still in flight when it exits would be lost.
   while (host.busy > 0 || !host.isLeavingKnown) await systemClock.sleep(DRAIN_CHECK_INTERVAL_MS)
-  const until = systemClock.now() + FINAL_ACK_TIMEOUT_MS
-  while (host.unacked > 0 && systemClock.now() < until) await systemClock.sleep(DRAIN_CHECK_INTERVAL_MS)
+  const ackDeadline = systemClock.now() + FINAL_ACK_WAIT_MS
+  while (host.unacked > 0 && systemClock.now() < ackDeadline) await systemClock.sleep(DRAIN_CHECK_INTERVAL_MS)
 }
 
 /**
--- a/packages/common/src/suspensionWatch.ts
+++ b/packages/common/src/suspensionWatch.ts
@@ -24,7 +24,7 @@
  * suspension and the wall clock does not.
  *
  * A forward step of the wall clock looks the same, so unless `isCertain` is set, a
- * listener can only regard what rests on elapsed time as unverified. A backward step
+ * listener can only regard what depends on elapsed time as unverified. A backward step
  * alone is not reported. One that equals a suspension, to within the tolerance, hides it.
  */
 export class SuspensionWatch {
@@ -48,7 +48,7 @@
     this.listeners.add(fn)
   }
 
-  /** Compares the clocks. Call it before any decision that rests on elapsed time. */
+  /** Compares the clocks. Call it before any decision that depends on elapsed time. */
   check (): void {
     const { steadyMs, offsetMs } = this.readClocks()
     const gainedMs = offsetMs - this.wallOffsetMs
--- a/packages/lab/src/createLabEndpointClient.ts
+++ b/packages/lab/src/createLabEndpointClient.ts
@@ -3,7 +3,7 @@
 import type { LabEndpoint } from './labEndpoint.js'
 import type { LabProcess } from './labProcess.js'
 
-/** CPU time at the agent to send a call, and again to read its answer, in ms; that of the platform's adapter. */
+/** CPU time at the agent to send a call, and again to read its answer, in ms; the same as for the platform's endpoint client. */
 const CALL_CPU_MS = 0.08
 /** One-way delay between an agent and its endpoint. */
 const ONE_WAY_MS = 0.3
@@ -41,6 +41,6 @@
   return {
     start: (order) => call<StartOutcome>({ type: 'unknown' }, 0, (answer) => endpoint.start(order, process.clock.now(), answer)),
     stop: (run) => call(false, 0, (answer) => endpoint.stop(run, answer)),
-    poll: (order) => call<PollOutcome>({ type: 'unknown' }, order.waitMs, (answer) => endpoint.poll(order, process.clock.now(), answer))
+    poll: (request) => call<PollOutcome>({ type: 'unknown' }, request.waitMs, (answer) => endpoint.poll(request, process.clock.now(), answer))
   }
 }
--- a/packages/lab/src/labWorld.ts
+++ b/packages/lab/src/labWorld.ts
@@ -37,12 +37,12 @@
 /** Assigns the items of a list round-robin. */
 const roundRobin = <T>(items: readonly T[], index: number): T => items[index % items.length]!
 
-/** A slot for an entry's process and its current process; a killed one gets a successor. */
+/** An entry of the system with its current process; a killed process gets a successor in the same slot. */
 export interface EntrySlot extends LabEntry {
   jobs: LeasedJobs
 }
 
-/** A slot for an agent's process next to its endpoint, with their current incarnations. */
+/** An agent of the system with its current process and the current incarnation of its endpoint. */
 export interface AgentSlot extends LabAgent {
   index: number
   endpoint: LabEndpoint
--- a/packages/lab/src/scenario.ts
+++ b/packages/lab/src/scenario.ts
@@ -12,8 +12,10 @@
   name: z.string().min(1),
   /** Jobs a second at all entries together. */
   perSecond: z.number().positive(),
+  /** Mean number of tasks of a job. */
   tasks: z.number().min(1),
   tasksSpread: z.number().min(0).default(0.4),
+  /** Largest number of tasks of a job. */
   tasksMost: z.number().min(1).default(1000),
   /** Run time of a task at an endpoint of speed 1. */
   runMs: z.number().positive(),
@@ -44,6 +46,7 @@
   z.strictObject({ kind: z.literal('burst'), ...periodFields, x: z.number().min(1), of: z.string().optional() }),
   /** Orders of agents to endpoints get no answer; starts and stops are carried out seconds later, polls are dropped. */
   z.strictObject({ kind: z.literal('lost_orders'), ...periodFields, share }),
+  /** Endpoints at which runs take `x` times as long. */
   z.strictObject({ kind: z.literal('slow_endpoints'), ...periodFields, share, x: z.number().min(1) }),
   /** Endpoints at which every task fails. */
   z.strictObject({ kind: z.literal('failing_endpoints'), ...periodFields, share }),
@@ -53,8 +56,11 @@
   z.strictObject({ kind: z.literal('lost_endpoints'), ...periodFields, share }),
   /** Endpoints drain, get no new tasks, and are gone for good after `for`. */
   z.strictObject({ kind: z.literal('leaving_endpoints'), ...periodFields, share }),
+  /** Agents whose processes are suspended for `for`. */
   z.strictObject({ kind: z.literal('frozen_agents'), ...periodFields, share }),
+  /** Agents whose processes are killed; new ones start after `for`. */
   z.strictObject({ kind: z.literal('killed_agents'), ...periodFields, share }),
+  /** Entries whose processes are killed; new ones start after `for`. */
   z.strictObject({ kind: z.literal('killed_entries'), ...periodFields, share }),
   /** Links between entries and agents that deliver nothing meanwhile. */
   z.strictObject({ kind: z.literal('silent_links'), ...periodFields, share }),
--- a/packages/protocol/src/constants.ts
+++ b/packages/protocol/src/constants.ts
@@ -31,7 +31,7 @@
   final: 'final',
   /** The job has not ended yet; the peer asks again. */
   pending: 'pending',
-  /** The claim belongs to the called entry, which gave it up before it started any task and will start none. */
+  /** The claim belongs to the called entry, which released it before it started any task and will start none. */
   released: 'released',
   /** The called entry is another incarnation, or does not know the claim. */
   unknown: 'unknown'
