--- a/packages/lab/src/figures.ts
+++ b/packages/lab/src/figures.ts
@@ -73,6 +73,7 @@
   violations: number
 }
 
+/** Share of its weight that a late job earns, if it is answered within LATE_FACTOR times its objective. */
 const LATE_VALUE = 0.2
 const LATE_FACTOR = 3
 const WINDOW_MS = 2000
--- a/packages/protocol/src/reasons.ts
+++ b/packages/protocol/src/reasons.ts
@@ -67,4 +67,5 @@
   handOnLost: 'hand_on_lost',
   internal: 'internal'
 } as const
+/** One of {@link REASONS}. */
 export type Reason = typeof REASONS[keyof typeof REASONS]
